--- a/crates/bankvalve_queue/src/core/lead_state.rs
+++ b/crates/bankvalve_queue/src/core/lead_state.rs
@@ -58,7 +58,7 @@
 const MIN_ANSWER_LIMIT: Duration = Duration::from_millis(80);
 
 /// Share of missed answers, in thousandths, above which answers count as late instead of lost. The
-/// platform loses a few of ten answers, seldom four.
+/// platform loses a few answers out of ten, seldom four.
 const MOSTLY_MISSED_PERMILLE: u32 = 650;
 /// Number of answers over which the share of missed answers is averaged.
 const MISS_WINDOW: u32 = 24;
--- a/crates/bankvalve_queue/src/core/worker_state.rs
+++ b/crates/bankvalve_queue/src/core/worker_state.rs
@@ -76,9 +76,9 @@
 /// Whether the ledger allows renewing a worker's lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum LeaseStop {
-    /// The ledger has no entry about it: the lease is renewed while the worker is in contact.
+    /// The ledger has nothing about the lease: it is renewed while the worker is in contact.
     None,
-    /// The ledger has, or is about to have, the event that the lease is not renewed.
+    /// The event that the lease is no longer renewed is committed or being committed.
     Stopped,
     /// The event that the lease may be renewed again is being committed.
     Resuming,
--- a/crates/bankvalve_queue/src/ledger/crash_count.rs
+++ b/crates/bankvalve_queue/src/ledger/crash_count.rs
@@ -200,11 +200,11 @@
 /// };
 /// let mut count = CrashCount::default();
 /// for (worker, run) in [("w-1", 1), ("w-2", 2)] {
-///     assert!(!count.is_spent());
+///     assert!(!count.is_conclusive());
 ///     count.note(CrashEnd { worker: worker.into(), run, evidence });
 ///     assert!(count.is_suspect());
 /// }
-/// assert!(count.is_spent());
+/// assert!(count.is_conclusive());
 /// ```
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct CrashCount {
--- a/crates/bankvalve_queue/src/peer.rs
+++ b/crates/bankvalve_queue/src/peer.rs
@@ -29,7 +29,7 @@
 /// # Examples
 ///
 /// ```
-/// assert!(bankvalve_queue::peer_time(1_000_000) >= bankvalve_queue::peer_time(100));
+/// assert!(bankvalve_queue::peer_batch_timeout(1_000_000) >= bankvalve_queue::peer_batch_timeout(100));
 /// ```
 pub fn peer_batch_timeout(bytes: usize) -> Duration {
     PEER_TIME + Duration::from_millis((bytes / LINK_BYTES_PER_MS) as u64)
@@ -53,7 +53,7 @@
 /// ```
 /// use std::time::Duration;
 ///
-/// let mut patience = bankvalve_queue::PeerPatience::default();
+/// let mut patience = bankvalve_queue::BatchTimeout::default();
 /// let usual = patience.time(100);
 /// patience.note_taken(Duration::from_millis(300));
 /// assert!(patience.time(100) > usual);
