--- /dev/null
+++ b/crates/bankvalve_queue/src/core/worker_entries.rs
@@ -0,0 +1,301 @@
+//! The workers' own entries in the platform's table: which workers exist, and which ones leave.
+
+use std::collections::BTreeSet;
+use std::time::Duration;
+
+use super::live_run::{LiveRun, RunPhase};
+use super::worker_state::WorkerState;
+use super::EntryCore;
+use crate::customer::CustomerName;
+use crate::ids::{RunId, TaskKey, WorkerId};
+use crate::job::StepSpec;
+use crate::ledger::{JobOutcome, TaskPhase};
+use crate::store::WorkerRow;
+use crate::worker::WorkerEntry;
+
+/// Maximum number of characters logged of the id of an unreadable entry, which may come from another
+/// program.
+const MAX_LOGGED_ID_CHARS: usize = 80;
+/// Divisor of a task's estimated time that gives its minimum remaining time. It applies once less is
+/// left of the estimate, or the estimate has passed.
+const MIN_REMAINING_DIVISOR: u32 = 4;
+
+/// A run that the ledger has as placed on a worker.
+struct AdoptedRun {
+    task: TaskKey,
+    worker: WorkerId,
+    run: RunId,
+    spec: StepSpec,
+    priority: u32,
+    customer: Option<CustomerName>,
+}
+
+/// A scan of all workers' entries, which arrive in pages.
+#[derive(Debug, Default)]
+pub(super) struct EntryScan {
+    /// Number of the scan, which tells apart the answers to an earlier scan.
+    number: u64,
+    /// Version of the table at the first page. A change to an entry of a page that was already read
+    /// appears only in the change feed after this version.
+    version: Option<u64>,
+    /// Workers on the pages read so far.
+    listed_ids: BTreeSet<WorkerId>,
+}
+
+impl EntryScan {
+    /// Starts a new scan at the first page.
+    pub(super) fn begin(&mut self) {
+        *self = Self {
+            number: self.number + 1,
+            ..Self::default()
+        };
+    }
+
+    pub(super) fn number(&self) -> u64 {
+        self.number
+    }
+
+    /// Records the workers on a page, read at a version of the table.
+    pub(super) fn note_page(&mut self, entries: &[(WorkerId, WorkerRow)], version: u64) {
+        self.version.get_or_insert(version);
+        self.listed_ids
+            .extend(entries.iter().map(|(id, _)| id.clone()));
+    }
+}
+
+impl EntryCore {
+    pub(super) fn handle_worker_entries(
+        &mut self,
+        entries: Vec<(WorkerId, WorkerRow)>,
+        full: bool,
+    ) {
+        for (id, row) in entries {
+            if let Some(lead) = self.lead.as_deref_mut() {
+                lead.placement_due = true;
+            }
+            match row {
+                WorkerRow::Entry(entry) => self.handle_worker_entry(&id, entry, full),
+                WorkerRow::Gone => self.unlist_worker(&id),
+                WorkerRow::Unusable(why) => self.skip_unreadable_entry(&id, why),
+            }
+        }
+    }
+
+    fn handle_worker_entry(&mut self, id: &WorkerId, entry: WorkerEntry, full: bool) {
+        let now = self.now;
+        let Some(lead) = self.lead.as_deref_mut() else {
+            return;
+        };
+        let slowness = self.measurements.0.get(id);
+        let Some(state) = lead.worker_states.get_mut(id) else {
+            let mut state = WorkerState::new(entry, true, now);
+            state.service_in_use = self.services.contains(&state.entry.service);
+            state.lease_stop = self.stopped_leases.state_of(id);
+            if let Some(slowness) = slowness {
+                state.start_slowness(*slowness);
+            }
+            lead.worker_states.insert(id.clone(), state);
+            if !full {
+                self.log("workers", "listed", id.to_string(), String::new());
+            }
+            return;
+        };
+        if let Some(slowness) = slowness.filter(|_| full) {
+            state.start_slowness(*slowness);
+        }
+        let leave_announced = entry.leaving && !state.entry.leaving;
+        let shrunk = !state.entry.room.fits(&entry.room);
+        let capacities = (state.entry.room, entry.room);
+        state.service_in_use = self.services.contains(&entry.service);
+        state.entry = entry;
+        state.listed = true;
+        state.entry_readable = true;
+        let other_process = state.token_accepted && !state.entry_is_current();
+        if other_process {
+            state.next_poll = now;
+        }
+        if leave_announced {
+            self.begin_leaving(id);
+        }
+        if shrunk {
+            let detail = format!("capacity {:?}, previously {:?}", capacities.1, capacities.0);
+            self.log("workers", "shrunk", id.to_string(), detail);
+        }
+        if other_process {
+            self.poll_if_due(id);
+        }
+    }
+
+    /// Adds services that a queue or an open job names, so that their workers are polled.
+    pub(super) fn note_services_in_use(&mut self, services: impl IntoIterator<Item = String>) {
+        let known = self.services.len();
+        self.services.extend(services);
+        if self.services.len() == known {
+            return;
+        }
+        let services = &self.services;
+        if let Some(lead) = self.lead.as_deref_mut() {
+            for state in lead.worker_states.values_mut() {
+                state.service_in_use = services.contains(&state.entry.service);
+            }
+        }
+    }
+
+    fn unlist_worker(&mut self, id: &WorkerId) {
+        let now = self.now;
+        let lead = self.lead.as_deref_mut();
+        if let Some(state) = lead.and_then(|lead| lead.worker_states.get_mut(id)) {
+            state.listed = false;
+            state.unlisted_at = Some(now);
+        }
+        self.log("workers", "unlisted", id.to_string(), String::new());
+    }
+
+    /// Skips an entry that cannot be decoded. A worker already known gets no new tasks until its entry
+    /// is readable again, and its runs continue.
+    fn skip_unreadable_entry(&mut self, id: &WorkerId, why: &'static str) {
+        let lead = self.lead.as_deref_mut();
+        if let Some(state) = lead.and_then(|lead| lead.worker_states.get_mut(id)) {
+            state.entry_readable = false;
+        }
+        self.counters.count("worker_entries", "unusable");
+        self.log_often("workers", "unusable", || {
+            let id: String = id.chars().take(MAX_LOGGED_ID_CHARS).collect();
+            (id, why.to_owned())
+        });
+    }
+
+    /// Ends a scan. Returns the table version after which to watch for changes.
+    ///
+    /// A known worker that was on no page no longer has an entry: it was removed while the table had
+    /// discarded its history, so no change reports the removal. Such a worker gets no new tasks, but it
+    /// is still polled and its runs continue. If it is alive, its entry reappears with later changes.
+    pub(super) fn finish_entry_scan(&mut self) -> Option<u64> {
+        let scan = &mut self.entry_scan;
+        let version = scan.version.take();
+        let listed_ids = std::mem::take(&mut scan.listed_ids);
+        let Some(lead) = self.lead.as_deref_mut() else {
+            return version;
+        };
+        lead.workers_known = true;
+        lead.placement_due = true;
+        let removed = lead
+            .worker_states
+            .iter()
+            .filter(|(id, state)| state.listed && !listed_ids.contains(*id));
+        let removed: Vec<WorkerId> = removed.map(|(id, _)| id.clone()).collect();
+        for id in removed {
+            self.unlist_worker(&id);
+        }
+        version
+    }
+
+    /// Adds the runs in the ledger to the worker states, after this instance became leader.
+    pub(super) fn adopt_runs(&mut self) {
+        let now = self.now;
+        let mut placed: Vec<AdoptedRun> = Vec::new();
+        let mut open = Vec::new();
+        let mut begun = Vec::new();
+        for job in self.book.jobs() {
+            if job.outcome == JobOutcome::Open {
+                open.push(job.spec.id);
+                begun.extend(job.has_done_task().then_some(job.spec.id));
+            }
+            for (time, record) in &job.times {
+                for (number, step) in record.steps.iter().enumerate() {
+                    let spec = &job.spec.steps[number];
+                    let key = crate::ids::StepKey {
+                        job: job.spec.id,
+                        time: *time,
+                        step: number as u16,
+                    };
+                    for (index, task) in step.tasks.iter().enumerate() {
+                        if let TaskPhase::Placed { worker, run } = &task.phase {
+                            let task = key.task(index as u32);
+                            placed.push(AdoptedRun {
+                                task,
+                                worker: worker.clone(),
+                                run: *run,
+                                spec: spec.clone(),
+                                priority: job.terms.priority,
+                                customer: job.spec.customer.clone(),
+                            });
+                        }
+                    }
+                }
+            }
+        }
+        let jobs = self
+            .book
+            .jobs()
+            .filter(|job| job.outcome == JobOutcome::Open);
+        let services: Vec<String> = jobs.map(|job| job.terms.service.clone()).collect();
+        self.note_services_in_use(services);
+        let detail = format!(
+            "{} open jobs, {} runs, last batch {}",
+            open.len(),
+            placed.len(),
+            self.applied
+        );
+        self.log("ledger", "adopted", String::new(), detail);
+        let Some(lead) = self.lead.as_deref_mut() else {
+            return;
+        };
+        lead.dirty_jobs.extend(open.iter().copied());
+        lead.begun.extend(begun);
+        for adopted in placed {
+            lead.dirty_jobs.insert(adopted.task.step.job);
+            let lease_stop = self.stopped_leases.state_of(&adopted.worker);
+            let state = lead.worker_states.get_or_insert_with(adopted.worker, || {
+                WorkerState::new(WorkerEntry::default(), false, now)
+            });
+            state.lease_stop = lease_stop;
+            let mut live = LiveRun::new(adopted.run, &adopted.spec, RunPhase::Adopted, now);
+            live.set_priority(adopted.priority);
+            live.customer = adopted.customer;
+            state.add_run(adopted.task, live);
+        }
+        for job in open {
+            self.schedule_times(job);
+        }
+        self.resend_requests();
+    }
+
+    /// Stops the runs that would not end before their worker leaves.
+    fn begin_leaving(&mut self, id: &WorkerId) {
+        let now = self.now;
+        let Some(lead) = self.lead.as_deref() else {
+            return;
+        };
+        let Some(state) = lead.worker_states.get(id) else {
+            return;
+        };
+        let time_left = Duration::from_millis(state.entry.remaining_ms.unwrap_or(u64::MAX / 2_000));
+        let outlasts_worker = |live: &LiveRun| match live.phase {
+            RunPhase::Running { since } => {
+                let ran = now.saturating_sub(since);
+                let remaining = live
+                    .estimate
+                    .saturating_sub(ran)
+                    .max(live.estimate / MIN_REMAINING_DIVISOR);
+                remaining > time_left
+            }
+            _ => false,
+        };
+        let to_stop: Vec<TaskKey> = state
+            .runs
+            .iter()
+            .filter(|(_, live)| outlasts_worker(live))
+            .map(|(task, _)| *task)
+            .collect();
+        let detail = format!(
+            "leaves in {time_left:?}, {} runs, {} of them stopped",
+            state.runs.len(),
+            to_stop.len()
+        );
+        self.log("workers", "leaving", id.to_string(), detail);
+        for task in to_stop {
+            self.begin_stop_run(id, task);
+        }
+    }
+}
