--- a/crates/bankvalve_queue/src/core/carriers.rs
+++ b/crates/bankvalve_queue/src/core/carriers.rs
@@ -1,11 +1,11 @@
-//! Carriers: strong instances that hold the workers' connections for the leader.
+//! Call proxies: standbys that send calls to workers for the leader and return the answers.
 //!
-//! An exchange with a worker costs some 25 us of a core, a message in a batch to a peer some 3 us.
-//! On a site of 1,100 workers and 1,500 starts a second that is 0.08 of a core for calls alone. So
-//! where a leader has many workers for its processor, its standbys send its calls and pass the
-//! answers on. All decisions, and what became of a call, stay with the leader: a call of which it
-//! hears nothing in time has no answer, whoever carried it, and workers compare the leader's token.
-//! A carrier has each job in its own book, so that an order does not bring the job along.
+//! An exchange with a worker costs about 25 us of a core, a message in a batch to a peer about 3 us.
+//! On a site with 1,100 workers and 1,500 starts a second, calls alone take 0.08 of a core. So if a
+//! leader has many workers for its CPU capacity, its standbys send its calls and forward the answers.
+//! The leader still makes all decisions and determines the outcome of each call: if no answer reaches
+//! it in time, the call is unanswered, whichever instance sent it. Workers compare the leader's token.
+//! A proxy has each job in its own book, so a proxied start does not contain the job.
 
 use std::time::Duration;
 
@@ -18,43 +18,43 @@
 use crate::peer::{CarriedCall, CarriedOrder, PeerAddress, PeerMessage};
 use crate::worker::{StartOrder, WorkerAnswer, WorkerCall};
 
-/// Workers for each core of the leader's processor from which on its calls are carried: exchanges
-/// with so many take a tenth of it.
-const WORKERS_PER_CORE: u64 = 800;
-/// Time that a carried call may take beyond its own: the ways between two instances, and the pace
-/// of their batches.
+/// Number of workers per core of the leader from which its calls are proxied. Exchanges with that many
+/// workers take a tenth of its CPU.
+const PROXIED_WORKERS_PER_CORE: u64 = 800;
+/// Time added to the limit of a proxied call, for the round trip between the two instances and for the
+/// interval of their batches.
 pub(super) const CARRY_SLACK: Duration = Duration::from_millis(150);
-/// Time between two choices of carriers.
-const CHOOSE_EVERY: Duration = Duration::from_millis(100);
-/// A carrier was heard this lately: more than two heartbeats.
-const CARRIER_HEARD: Duration = Duration::from_millis(450);
-/// Batches of the ledger that a carrier may be behind, as its last heartbeat told; they are written
-/// 24 ms apart, and heartbeats come each 160 ms.
-const BATCHES_BEHIND: u64 = 30;
-/// Time for which a carrier remembers a call that has no answer.
-const FORGET_CALL: Duration = Duration::from_secs(5);
-
-/// What a leader knows of its carriers.
+/// Interval between two selections of proxies.
+const SELECTION_INTERVAL: Duration = Duration::from_millis(100);
+/// Maximum time since the last heartbeat of a proxy: more than two heartbeat intervals.
+const PROXY_CONTACT_TIMEOUT: Duration = Duration::from_millis(450);
+/// Maximum number of ledger batches that a proxy lacks, by its last heartbeat. Batches are written
+/// 24 ms apart, and heartbeats come every 160 ms.
+const MAX_BATCHES_BEHIND: u64 = 30;
+/// Time after which a proxy forgets a call that has no answer.
+const FORGET_CALL_AFTER: Duration = Duration::from_secs(5);
+
+/// Proxies that a leader has selected.
 #[derive(Debug, Default)]
 pub(super) struct CarrierList {
     peers: Vec<PeerAddress>,
-    chosen_at: Option<CoreTime>,
+    selected_at: Option<CoreTime>,
 }
 
 impl CarrierList {
-    /// Tells whether calls are carried.
+    /// Returns whether calls are proxied.
     pub(super) fn are_used(&self) -> bool {
         !self.peers.is_empty()
     }
 
-    /// The carrier of a worker's calls; the same one while the carriers stay.
+    /// Returns the proxy for a worker's calls. It stays the same while the proxies do.
     pub(super) fn carrier_of(&self, worker: &WorkerId) -> Option<PeerAddress> {
         let weight = |peer: &PeerAddress| choice_weight(worker, peer);
         self.peers.iter().copied().max_by_key(weight)
     }
 }
 
-/// A call that this instance carries.
+/// Where a call that this instance proxies came from.
 #[derive(Debug)]
 pub(super) struct CarriedFor {
     leader: PeerAddress,
@@ -63,45 +63,49 @@
 }
 
 impl EntryCore {
-    /// Chooses the carriers anew: standbys that are heard and have the book.
+    /// Selects the proxies when that is due, and times out calls.
     pub(super) fn run_carriers(&mut self) {
         let now = self.now;
         let Some(lead) = self.lead.as_deref() else {
             return;
         };
-        let due = |at: CoreTime| now >= at + CHOOSE_EVERY;
-        if lead.carriers.chosen_at.is_none_or(due) {
-            let peers = self.choose_carriers(lead);
+        let due = |at: CoreTime| now >= at + SELECTION_INTERVAL;
+        if lead.carriers.selected_at.is_none_or(due) {
+            let peers = self.select_proxies(lead);
             if let Some(lead) = self.lead.as_deref_mut() {
                 lead.carriers.peers = peers;
-                lead.carriers.chosen_at = Some(now);
+                lead.carriers.selected_at = Some(now);
             }
         }
-        self.end_late_calls();
+        self.time_out_calls();
     }
 
-    fn choose_carriers(&self, lead: &LeadState) -> Vec<PeerAddress> {
+    fn select_proxies(&self, lead: &LeadState) -> Vec<PeerAddress> {
         let workers = lead.seats.len() as u64 * 1_000;
-        if workers < WORKERS_PER_CORE * self.settings.strength.max(1) || self.stopping {
+        if workers < PROXIED_WORKERS_PER_CORE * self.settings.strength.max(1) || self.stopping {
             return Vec::new();
         }
-        let able = |peer: &PeerView| {
-            let heard = peer.heard_at.is_some_and(|at| self.age(at) < CARRIER_HEARD);
-            let has_book = peer.news.applied + BATCHES_BEHIND >= self.applied;
-            heard && has_book && !peer.news.stopping
+        let is_usable = |peer: &PeerView| {
+            let in_contact = peer
+                .heard_at
+                .is_some_and(|at| self.age(at) < PROXY_CONTACT_TIMEOUT);
+            let has_book = peer.news.applied + MAX_BATCHES_BEHIND >= self.applied;
+            in_contact && has_book && !peer.news.stopping
         };
         let mut standbys = self.live_standbys();
-        standbys.retain(|address| self.peers.get(address).is_some_and(able));
+        standbys.retain(|address| self.peers.get(address).is_some_and(is_usable));
         standbys
     }
 
-    /// Gives up calls of which nothing was heard in time, by the time of the oldest event that is
-    /// not taken yet: an answer may wait behind it.
-    fn end_late_calls(&mut self) {
-        let seen = self.now.saturating_sub(self.lag);
+    /// Handles calls whose time limit has passed as unanswered.
+    ///
+    /// The limit is compared with the arrival time of the event that is being handled, because an
+    /// answer may wait in the queue behind it.
+    fn time_out_calls(&mut self) {
+        let event_time = self.now.saturating_sub(self.lag);
         while let Some(lead) = self.lead.as_deref_mut() {
             let first = lead.call_limits.first().copied();
-            let Some((_, ticket)) = first.filter(|(limit, _)| seen >= *limit) else {
+            let Some((_, ticket)) = first.filter(|(limit, _)| event_time >= *limit) else {
                 return;
             };
             lead.call_limits.pop_first();
@@ -110,23 +114,23 @@
         }
     }
 
-    /// Gives up the calls that a peer carries which is gone.
+    /// Stops using a peer as a proxy, and handles its open calls as unanswered.
     pub(super) fn lose_carrier(&mut self, peer: PeerAddress) {
         let Some(lead) = self.lead.as_deref_mut() else {
             return;
         };
         lead.carriers.peers.retain(|carrier| *carrier != peer);
-        let carried = lead
+        let open = lead
             .calls
             .iter()
             .filter(|(_, open)| open.carrier == Some(peer));
-        let tickets: Vec<Ticket> = carried.map(|(ticket, _)| *ticket).collect();
+        let tickets: Vec<Ticket> = open.map(|(ticket, _)| *ticket).collect();
         for ticket in tickets {
             self.take_worker_answer(ticket, WorkerAnswer::NoReply);
         }
     }
 
-    /// Has a call carried, if there is a carrier; tells by whom.
+    /// Sends a call through a proxy, if there is one, and returns the proxy's address.
     pub(super) fn have_carried(
         &mut self,
         ticket: Ticket,
@@ -149,35 +153,36 @@
         Some(carrier)
     }
 
-    /// Carries a call for the leader.
-    pub(super) fn carry_call(&mut self, from: PeerAddress, ticket: Ticket, carried: CarriedCall) {
-        let Some(call) = self.whole_call(carried.order) else {
-            // The book does not have the job yet: it is surely not sent, and the leader tries again.
+    /// Sends a call to a worker for the leader.
+    pub(super) fn carry_call(&mut self, from: PeerAddress, ticket: Ticket, proxied: CarriedCall) {
+        let Some(call) = self.complete_call(proxied.order) else {
+            // The local book does not have the job yet. Nothing was sent, so the leader can try again.
             let answer = WorkerAnswer::NotSent;
             self.tell(from, PeerMessage::Carried { ticket, answer });
             return;
         };
         let own_ticket = self.take_ticket();
         let since = self.now;
-        let carried_for = CarriedFor {
+        let origin = CarriedFor {
             leader: from,
             ticket,
             since,
         };
-        self.carrying.insert(own_ticket, carried_for);
+        self.carrying.insert(own_ticket, origin);
         self.counters.count("calls", "carried");
         self.push_worker_call(
             own_ticket,
-            &carried.worker,
-            carried.address,
-            carried.token,
+            &proxied.worker,
+            proxied.address,
+            proxied.token,
             call,
-            Duration::from_millis(carried.time_ms),
+            Duration::from_millis(proxied.time_ms),
         );
     }
 
-    /// The call with the job that it is for, from the own book.
-    fn whole_call(&self, order: CarriedOrder) -> Option<WorkerCall> {
+    /// Returns the complete call. The job of a start is added from the local book; `None` if the book
+    /// does not have it.
+    fn complete_call(&self, order: CarriedOrder) -> Option<WorkerCall> {
         Some(match order {
             CarriedOrder::Start {
                 task,
@@ -208,22 +213,22 @@
         })
     }
 
-    /// Passes an answer on if its call was carried for the leader.
+    /// Forwards an answer if its call was proxied for the leader, and returns whether it was.
     pub(super) fn pass_answer_on(&mut self, ticket: Ticket, answer: &WorkerAnswer) -> bool {
-        let Some(carried_for) = self.carrying.remove(&ticket) else {
+        let Some(origin) = self.carrying.remove(&ticket) else {
             return false;
         };
-        let ticket = carried_for.ticket;
+        let ticket = origin.ticket;
         let answer = answer.clone();
-        self.tell(carried_for.leader, PeerMessage::Carried { ticket, answer });
+        self.tell(origin.leader, PeerMessage::Carried { ticket, answer });
         true
     }
 
-    /// Forgets carried calls of whose end no word will come.
+    /// Forgets proxied calls that have had no answer for too long.
     pub(super) fn forget_carried(&mut self) {
         let now = self.now;
         while let Some(first) = self.carrying.first_entry() {
-            if now.saturating_sub(first.get().since) < FORGET_CALL {
+            if now.saturating_sub(first.get().since) < FORGET_CALL_AFTER {
                 return;
             }
             first.remove();
--- a/crates/bankvalve_queue/src/core/election.rs
+++ b/crates/bankvalve_queue/src/core/election.rs
@@ -1,4 +1,4 @@
-//! Who leads: members' rows, heartbeats, suspicion, and the claim of the leader's row.
+//! Leader election: what is known of the leader, suspicion of it, and claims of the leader's row.
 
 use std::time::Duration;
 
@@ -14,49 +14,51 @@
 use crate::peer::{HeartbeatNews, PeerAddress};
 use crate::store::{RowCondition, RowKey, RowWrite, StoreOutcome, StoreRequest, StoredRow};
 
-/// Silence after which a leader is suspected: four heartbeats and the delay of a slow one.
+/// Time without contact after which a leader is suspected: four heartbeats and the delay of a slow
+/// one.
 const SUSPECT_AFTER: Duration = Duration::from_millis(750);
-/// A peer that heard the leader this lately speaks against the suspicion.
-const HEARD_LATELY: Duration = Duration::from_millis(550);
-/// Suspicion of an instance that no peer answers: it is more likely cut off itself.
-const ALONE_AFTER: Duration = Duration::from_millis(2_500);
-/// Pause for each near member that comes first in the order of claims.
-const RANK_PAUSE: Duration = Duration::from_millis(120);
-/// Pause for each other member that does, once all near ones have had their time.
-const FAR_RANK_PAUSE: Duration = Duration::from_millis(15);
-/// Added for a member that is not near while one lives that is, and that the table answers: it has
-/// the book, and as a rule the stronger processor and link.
-const FAR_HOLD: Duration = Duration::from_millis(1_500);
-/// Pause before a claim is tried again; it doubles with each one that the table does not answer.
-const CLAIM_PAUSE: Duration = Duration::from_millis(120);
-/// Most doublings of it.
-const CLAIM_DOUBLINGS: u32 = 3;
-/// Silence of a leader after which requests are refused at once: a takeover takes some 1.2 s.
-const LEADERLESS: Duration = Duration::from_millis(2_000);
-/// Wait for a leader's own heartbeat after its row was read.
-const ROW_GRACE: Duration = Duration::from_millis(400);
+/// Maximum age of a peer's last contact with the leader that counts against the suspicion.
+const RECENT_LEADER_CONTACT: Duration = Duration::from_millis(550);
+/// Time without contact after which an isolated instance suspects the leader. An instance that
+/// reaches no peer is more likely cut off itself.
+const ISOLATED_SUSPECT_AFTER: Duration = Duration::from_millis(2_500);
+/// Claim delay for each preferred member that may claim first.
+const PREFERRED_RANK_DELAY: Duration = Duration::from_millis(120);
+/// Claim delay for each other member that may claim first, after the delays of all preferred members.
+const OTHER_RANK_DELAY: Duration = Duration::from_millis(15);
+/// Additional claim delay of a member that is not preferred, while a preferred member that the table
+/// answers is alive. The preferred member has the book, and usually more CPU and a faster link.
+const OTHER_CLAIM_DELAY: Duration = Duration::from_millis(1_500);
+/// Delay before a claim is repeated; it doubles with each claim that the table does not answer.
+const CLAIM_RETRY_DELAY: Duration = Duration::from_millis(120);
+/// Maximum number of doublings of [`CLAIM_RETRY_DELAY`].
+const MAX_CLAIM_DOUBLINGS: u32 = 3;
+/// Time without a leader after which requests are refused at once: a takeover takes about 1.2 s.
+const LEADERLESS_AFTER: Duration = Duration::from_millis(2_000);
+/// Time allowed for the first heartbeat of a leader whose row was read.
+const ROW_HEARTBEAT_GRACE: Duration = Duration::from_millis(400);
 
-/// The leader, as far as is known.
+/// What this instance knows about the leader.
 #[derive(Clone, Debug)]
 pub(super) struct LeaderView {
     pub(super) address: PeerAddress,
     pub(super) life: u64,
     pub(super) epoch: u64,
-    /// Version of its row; 0 if only peers told of it.
+    /// Version of its row; 0 if it is known only from peers.
     pub(super) row_version: u64,
     pub(super) heard_at: CoreTime,
-    /// Whether its process is surely gone: its port refused, or another life answers there.
+    /// Whether its process has gone: its port refused a connection, or another process answers there.
     pub(super) gone: bool,
-    /// Whether a later life has answered there since.
+    /// Whether a later process has answered at its address since.
     pub(super) ended: bool,
-    /// Whether it said last that it takes no requests up yet.
+    /// Whether its last heartbeat said that it accepts no requests yet.
     pub(super) loading: bool,
-    /// Share of new jobs that it does not take on, in percent.
+    /// Share of new jobs that it refuses, in percent.
     pub(super) refuse_percent: u32,
 }
 
 impl LeaderView {
-    /// A leader of which nothing else is known yet.
+    /// Creates the view of a leader of which nothing else is known yet.
     fn new(address: PeerAddress, life: u64, epoch: u64, heard_at: CoreTime) -> Self {
         Self {
             address,
@@ -72,20 +74,21 @@
     }
 }
 
-/// A peer, as far as is known.
+/// What this instance knows about a peer.
 #[derive(Clone, Debug, Default)]
 pub(super) struct PeerView {
     pub(super) heard_at: Option<CoreTime>,
     pub(super) known_at: CoreTime,
-    /// Processor that it has, in thousandths of a core.
+    /// CPU capacity, in thousandths of a core.
     pub(super) strength: u64,
     pub(super) news: HeartbeatNews,
     pub(super) echo: PeerEcho,
-    /// Whether it is heard at the slow pace of a leader and far members.
+    /// Whether its heartbeats come at the reduced rate between the leader and the other members of a
+    /// large site.
     pub(super) slow: bool,
 }
 
-/// A claim on its way.
+/// A claim of leadership.
 #[derive(Debug)]
 pub(super) struct ClaimState {
     pub(super) epoch: u64,
@@ -93,11 +96,11 @@
     /// When its first copy was sent.
     pub(super) sent_at: CoreTime,
     pub(super) next_at: CoreTime,
-    /// Batches of the own book, if the claim stands only where the ledger has no more.
-    complete: Option<u64>,
+    /// Number of batches in the local book, if the claim requires that the ledger has no more.
+    ledger_end: Option<u64>,
 }
 
-/// Content of the leader's row.
+/// Contents of the leader's row.
 #[derive(Debug, Serialize, Deserialize)]
 struct LeaderRow {
     address: PeerAddress,
@@ -114,13 +117,13 @@
         self.unready_reason().is_none()
     }
 
-    /// Tells whether nobody has led for longer than a takeover takes.
+    /// Returns whether there has been no leader for longer than a takeover takes.
     pub(super) fn is_leaderless(&self) -> bool {
-        let silence = match &self.leader {
+        let gap = match &self.leader {
             Some(leader) => self.age(leader.heard_at),
             None => self.uptime(),
         };
-        self.lead.is_none() && silence > LEADERLESS
+        self.lead.is_none() && gap > LEADERLESS_AFTER
     }
 
     pub(super) fn leader_is_heard(&self) -> bool {
@@ -154,14 +157,14 @@
         };
         let claimed = self.claim.as_ref().map(|claim| claim.epoch);
         if self.lead.is_none() && claimed.is_some_and(|epoch| self.is_own_claim(&row, epoch)) {
-            // The change was heard of before the claim's own answer.
-            self.begin_lead(row.epoch, version);
+            // The change of the row arrived before the answer to the claim.
+            self.begin_leadership(row.epoch, version);
             return;
         }
         self.highest_epoch = self.highest_epoch.max(row.epoch);
         if let Some(lead) = &self.lead {
             if row.epoch > lead.epoch {
-                self.depose("a later leader's row");
+                self.depose("the leader's row has a later epoch");
             } else {
                 return;
             }
@@ -184,7 +187,11 @@
             return;
         }
         let gone = row.address == self.settings.address;
-        let grace = if gone { Duration::ZERO } else { ROW_GRACE };
+        let grace = if gone {
+            Duration::ZERO
+        } else {
+            ROW_HEARTBEAT_GRACE
+        };
         let heard_at = self.now.saturating_sub(SUSPECT_AFTER - grace);
         self.follow(LeaderView {
             row_version: version,
@@ -205,8 +212,8 @@
             }
         }
         self.note_epoch(leader.epoch);
-        let own = leader.address == self.settings.address;
-        if !own {
+        let is_local = leader.address == self.settings.address;
+        if !is_local {
             let now = self.now;
             self.peers
                 .entry(leader.address)
@@ -219,7 +226,7 @@
         self.resend_asks();
     }
 
-    /// Ends the own lead without writing anything.
+    /// Ends this instance's leadership without writing anything.
     pub(super) fn depose(&mut self, why: &str) {
         let Some(lead) = self.lead.take() else {
             return;
@@ -231,8 +238,8 @@
         let ended = LeaderView::new(address, life, lead.epoch, self.now);
         self.note_ended_leader(&ended);
         self.worker_watch.after = None;
-        // What was not kept must go from the book, so it is read anew; before the whole ledger was
-        // read, nothing was added to it.
+        // Uncommitted events must be removed from the book, so it is read again. Before the entire
+        // ledger was read, no such event was added.
         if lead.loaded {
             self.book = Default::default();
             self.stopped_holds.clear();
@@ -250,8 +257,9 @@
         self.resend_asks();
     }
 
-    /// Another life at the leader's address shows that the one that led is over.
-    pub(super) fn is_gone_leader(&self, from: PeerAddress, news: &HeartbeatNews) -> bool {
+    /// Returns whether a heartbeat comes from another process at the leader's address, which shows
+    /// that the process that led has ended.
+    pub(super) fn is_new_process_of_leader(&self, from: PeerAddress, news: &HeartbeatNews) -> bool {
         self.lead.is_none()
             && self
                 .leader
@@ -260,9 +268,9 @@
     }
 
     pub(super) fn lose_leader(&mut self) {
-        let old = self.now.saturating_sub(SUSPECT_AFTER);
+        let suspect_at = self.now.saturating_sub(SUSPECT_AFTER);
         if let Some(leader) = self.leader.as_mut() {
-            leader.heard_at = leader.heard_at.min(old);
+            leader.heard_at = leader.heard_at.min(suspect_at);
             leader.gone = true;
         }
     }
@@ -321,32 +329,37 @@
             }
             self.asked_to_lead = None;
         }
-        let silence = match &self.leader {
+        let gap = match &self.leader {
             Some(leader) => self.age(leader.heard_at),
             None => SUSPECT_AFTER,
         };
         let epoch = self.highest_epoch;
         let gone = self.leader.as_ref().is_some_and(|leader| leader.gone);
-        let others_hear = !gone
+        let peers_have_contact = !gone
             && self.live_peers().any(|(_, peer)| {
                 peer.news.epoch >= epoch
                     && peer.news.leader.is_some()
-                    && u128::from(peer.news.leader_age_ms) < HEARD_LATELY.as_millis()
+                    && u128::from(peer.news.leader_age_ms) < RECENT_LEADER_CONTACT.as_millis()
             });
-        let alone = !gone && self.live_peers().next().is_none() && !self.peers.is_empty();
-        let limit = if alone { ALONE_AFTER } else { SUSPECT_AFTER };
-        if silence < limit || (others_hear && silence < ALONE_AFTER * 2) {
+        let isolated = !gone && self.live_peers().next().is_none() && !self.peers.is_empty();
+        let limit = if isolated {
+            ISOLATED_SUSPECT_AFTER
+        } else {
+            SUSPECT_AFTER
+        };
+        if gap < limit || (peers_have_contact && gap < ISOLATED_SUSPECT_AFTER * 2) {
             self.suspect_since = None;
             return false;
         }
         let since = *self.suspect_since.get_or_insert(self.now);
-        let (near, far) = self.members_before_own();
-        let held_back = if self.is_behind_near_members() {
-            FAR_HOLD
+        let (preferred, others) = self.members_before_own();
+        let other_delay = if self.is_behind_near_members() {
+            OTHER_CLAIM_DELAY
         } else {
             Duration::ZERO
         };
-        self.age(since) >= RANK_PAUSE * near + FAR_RANK_PAUSE * far + held_back
+        self.age(since)
+            >= PREFERRED_RANK_DELAY * preferred + OTHER_RANK_DELAY * others + other_delay
     }
 
     fn begin_claim(&mut self) {
@@ -359,52 +372,53 @@
         };
         let value = rmp_serde::to_vec(&row).expect("a leader's row can be encoded");
         let key = leader_key();
-        let complete = self.complete_book(epoch);
-        let next_batch = complete.map(|applied| RowCondition {
+        let ledger_end = self.required_ledger_end(epoch);
+        let next_batch = ledger_end.map(|applied| RowCondition {
             key: batch_row(applied + 1),
             version: 0,
         });
-        let own_row = RowCondition {
+        let leader_row = RowCondition {
             key: key.clone(),
             version,
         };
         let guarded = self.keeps(SiteGuard::CompleteBook);
         let next_batch = next_batch.filter(|_| guarded);
         let request = StoreRequest::Transact {
-            conditions: std::iter::once(own_row).chain(next_batch).collect(),
+            conditions: std::iter::once(leader_row).chain(next_batch).collect(),
             writes: vec![RowWrite { key, value }],
             removals: Vec::new(),
         };
-        // An earlier copy may be the one that is done.
+        // An earlier copy of the claim may be the one that is applied.
         let sent_at = match self.claim_sent {
             (of, at) if of == epoch => at,
             _ => self.now,
         };
         self.claim_sent = (epoch, sent_at);
-        let silence = self.leader.as_ref().map(|leader| self.age(leader.heard_at));
-        let detail = format!("on row version {version}, leader silent for {silence:?}");
+        let gap = self.leader.as_ref().map(|leader| self.age(leader.heard_at));
+        let detail = format!("row version {version}, no contact with the leader for {gap:?}");
         self.log("election", "claim", format!("epoch {epoch}"), detail);
         self.counters.count("elections", "claimed");
         self.claim = Some(ClaimState {
             epoch,
             busy: true,
             sent_at,
-            next_at: self.now + CLAIM_PAUSE,
-            complete,
+            next_at: self.now + CLAIM_RETRY_DELAY,
+            ledger_end,
         });
         self.ask_store(StorePurpose::Claim, request);
     }
 
-    /// Number of batches of the own book if a claim may require that the ledger has no more.
+    /// Returns the number of batches in the local book, if a claim may require that the ledger has no
+    /// more.
     ///
-    /// Then the book is whole once the claim stands, and the ledger need not be read: a slow table
-    /// takes half a second for that. A second claim to the same epoch requires nothing, since it
-    /// could not be told from the first.
-    fn complete_book(&mut self, epoch: u64) -> Option<u64> {
+    /// If such a claim is applied, the book is complete and the ledger need not be read, which takes
+    /// half a second with a slow table. A second claim of the same epoch has no such condition,
+    /// because its row could not be distinguished from the first one's.
+    fn required_ledger_end(&mut self, epoch: u64) -> Option<u64> {
         let first = self.claimed_epoch < epoch;
         self.claimed_epoch = epoch;
         let followed = self.applied > 0 || self.highest_epoch == 0;
-        // A leader that goes on until the claim stands writes the ledger on.
+        // A leader that continues until the claim is applied still appends to the ledger.
         let racing = self.asked_to_lead.is_some() && !self.asked_over;
         (first && followed && !racing && !self.catching_up).then_some(self.applied)
     }
@@ -419,34 +433,36 @@
             StoreOutcome::Busy | StoreOutcome::Lost => self.claims_unanswered + 1,
             _ => 0,
         };
-        let doublings = self.claims_unanswered.min(CLAIM_DOUBLINGS);
-        claim.next_at = self.now + CLAIM_PAUSE * 2_u32.pow(doublings);
+        let doublings = self.claims_unanswered.min(MAX_CLAIM_DOUBLINGS);
+        claim.next_at = self.now + CLAIM_RETRY_DELAY * 2_u32.pow(doublings);
         match outcome {
             StoreOutcome::Applied { version } if self.lead.is_none() => {
-                self.begin_lead(epoch, version);
+                self.begin_leadership(epoch, version);
             }
             StoreOutcome::Applied { .. } => {}
             StoreOutcome::Conflict { rows } => {
-                self.lose_claim(&rows);
-                self.claim_again_if_behind(&rows);
+                self.handle_rejected_claim(&rows);
+                self.repeat_claim_if_behind(&rows);
             }
-            // It may have been done: the row tells when it is read.
+            // The claim may have been applied. Reading the row shows whether it was.
             _ => self.read_leader_row(),
         }
     }
 
-    /// The row as it stands may also show that an earlier copy of the claim was done.
-    fn lose_claim(&mut self, rows: &[StoredRow]) {
+    /// Handles the leader's row after a rejected claim. The row may also show that an earlier copy of
+    /// the claim was applied.
+    fn handle_rejected_claim(&mut self, rows: &[StoredRow]) {
         self.take_leader_rows(rows);
     }
 
-    /// The ledger had more than the own book: the claim is repeated, and the ledger read.
-    fn claim_again_if_behind(&mut self, rows: &[StoredRow]) {
+    /// Repeats a claim at once if it failed because the ledger has more batches than the local book.
+    /// The repeated claim has no such condition, and the ledger is read once it is applied.
+    fn repeat_claim_if_behind(&mut self, rows: &[StoredRow]) {
         let behind = rows.iter().any(|row| row.key.table == LEDGER_TABLE);
         let leader_row = rows.iter().find(|row| row.key == leader_key());
         let known = self.leader.as_ref().map_or(0, |leader| leader.row_version);
-        let stands = leader_row.is_none_or(|row| row.version == known);
-        if !behind || !stands || self.lead.is_some() {
+        let unchanged = leader_row.is_none_or(|row| row.version == known);
+        if !behind || !unchanged || self.lead.is_some() {
             return;
         }
         if let Some(claim) = self.claim.as_mut() {
@@ -464,18 +480,18 @@
         row.address == self.settings.address && row.life == self.settings.life && row.epoch == epoch
     }
 
-    /// Takes the leader's row as it was read, which may show a claim whose answer was lost.
+    /// Handles the leader's row as it was read, which may show a claim whose answer was lost.
     pub(super) fn take_leader_rows(&mut self, rows: &[StoredRow]) {
         for row in rows.iter().filter(|row| row.key == leader_key()) {
             self.take_leader_row(&row.value, row.version);
         }
     }
 
-    fn begin_lead(&mut self, epoch: u64, row_version: u64) {
+    fn begin_leadership(&mut self, epoch: u64, row_version: u64) {
         let predecessor = self.leader.take();
         let asked = self.asked_to_lead.take().is_some() && self.asked_over;
-        let complete = self.claim.as_ref().and_then(|claim| claim.complete);
-        let complete = complete.is_some_and(|applied| applied == self.applied);
+        let ledger_end = self.claim.as_ref().and_then(|claim| claim.ledger_end);
+        let complete = ledger_end.is_some_and(|applied| applied == self.applied);
         let claimed_at = self.claim.as_ref().map_or(self.now, |claim| claim.sent_at);
         self.claim = None;
         self.suspect_since = None;
@@ -490,7 +506,7 @@
         let before = predecessor.map(|old| (old.address, old.life));
         let detail =
             format!(
-            "row version {row_version}, predecessor {before:?}, its holds over in {:?} at most, {}",
+            "row version {row_version}, predecessor {before:?}, its leases expire in {:?} at most, {}",
             self.former_leaders.holds_over_at().saturating_sub(self.now),
             if self.former_leaders.are_known() { "known" } else { "assumed" }
         );
@@ -498,7 +514,7 @@
         let mut lead = LeadState::new(epoch, row_version, self.now);
         lead.confirmed_at = claimed_at;
         lead.guess_error = self.measures.1.clone();
-        // The first heartbeat tells it.
+        // The first heartbeat reports this.
         lead.loaded = complete;
         self.lead = Some(Box::new(lead));
         self.worker_watch = Default::default();
--- a/crates/bankvalve_queue/src/core/following.rs
+++ b/crates/bankvalve_queue/src/core/following.rs
@@ -1,4 +1,4 @@
-//! An instance that does not lead: it keeps its book close to the ledger's end.
+//! A follower's book, which stays close to the end of the ledger, and the dispatch of peer messages.
 
 use std::time::Duration;
 
@@ -11,15 +11,15 @@
 use crate::peer::{PeerAddress, PeerMessage};
 use crate::store::{StoreOutcome, StoreRequest};
 
-/// Wait before missing batches are read, since they may still be on their way.
-const CATCH_UP_PAUSE: Duration = Duration::from_millis(1_500);
+/// Delay before missing batches are read from the table, since they may still be in flight.
+const CATCH_UP_DELAY: Duration = Duration::from_millis(1_500);
 
-/// Pause before a leader asks anew for a page of the ledger, or an instance that knows none for the
-/// leader's row, that did not come.
-const LOAD_PAUSE: Duration = Duration::from_millis(120);
+/// Delay before a failed read is repeated: of a page of the ledger by a leader, or of the leader's row
+/// by an instance that knows no leader.
+const READ_RETRY_DELAY: Duration = Duration::from_millis(120);
 
-/// Time between two tellings of what was measured.
-const MEASURES_EVERY: Duration = Duration::from_secs(2);
+/// Interval between two messages with the leader's measurements.
+const MEASUREMENT_INTERVAL: Duration = Duration::from_secs(2);
 
 pub(super) fn batch_key(sequence: u64) -> String {
     format!("{sequence:012}")
@@ -52,10 +52,10 @@
                 batch,
                 onward,
             } => {
-                self.take_committed(epoch, sequence, &batch);
-                self.pass_committed(epoch, sequence, batch, onward);
+                self.handle_committed(epoch, sequence, &batch);
+                self.forward_committed(epoch, sequence, batch, onward);
             }
-            PeerMessage::Measured { workers, queues } => self.take_measures(workers, queues),
+            PeerMessage::Measured { workers, queues } => self.handle_measurements(workers, queues),
             PeerMessage::TakeOver { epoch, over } => self.take_over(from, epoch, over),
             PeerMessage::TableWanted { version } => self.take_table_wanted(from, version),
             PeerMessage::TableOffer { version, bytes } => {
@@ -67,7 +67,7 @@
         }
     }
 
-    /// Tells peers what was measured of workers and queues, every now and then.
+    /// Sends the slowness of workers and the estimate errors of queues to the standbys, at intervals.
     pub(super) fn tell_measures(&mut self) {
         let now = self.now;
         let Some(lead) = self.lead.as_deref_mut() else {
@@ -76,7 +76,7 @@
         if now < lead.next_measures {
             return;
         }
-        lead.next_measures = now + MEASURES_EVERY;
+        lead.next_measures = now + MEASUREMENT_INTERVAL;
         let workers: Vec<(WorkerId, f64)> = lead
             .seats
             .iter()
@@ -100,13 +100,13 @@
         }
     }
 
-    fn take_measures(&mut self, workers: Vec<(WorkerId, f64)>, queues: Vec<(String, f64)>) {
+    fn handle_measurements(&mut self, workers: Vec<(WorkerId, f64)>, queues: Vec<(String, f64)>) {
         if self.lead.is_none() {
             self.measures = (workers.into_iter().collect(), queues.into_iter().collect());
         }
     }
 
-    fn take_committed(&mut self, epoch: u64, sequence: u64, batch: &[u8]) {
+    fn handle_committed(&mut self, epoch: u64, sequence: u64, batch: &[u8]) {
         if self.lead.is_some() || epoch < self.highest_epoch || sequence <= self.applied {
             return;
         }
@@ -114,12 +114,12 @@
             self.apply_batch(sequence, batch);
             self.end_read_round();
         } else if self.catch_up_at.is_none() {
-            self.catch_up_at = Some(self.now + CATCH_UP_PAUSE);
+            self.catch_up_at = Some(self.now + CATCH_UP_DELAY);
         }
     }
 
-    /// Passes a batch on to the next standby, for a leader whose link is short.
-    fn pass_committed(
+    /// Forwards a batch to the next standby, for a leader that saves link capacity.
+    fn forward_committed(
         &mut self,
         epoch: u64,
         sequence: u64,
@@ -164,15 +164,15 @@
         self.read_ledger();
     }
 
-    /// Tells whether a page of the ledger is on its way.
+    /// Returns whether a request for a page of the ledger is in flight.
     pub(super) fn is_reading_ledger(&self) -> bool {
-        let reads =
+        let is_ledger_read =
             |question: &OpenQuestion| matches!(question.purpose, StorePurpose::ReadLedger { .. });
-        self.store_tickets.values().any(reads)
+        self.store_tickets.values().any(is_ledger_read)
     }
 
-    /// Asks for the next page of the ledger, unless one is on its way, whatever it was asked for:
-    /// two side by side share a thin link and bring the same rows.
+    /// Requests the next page of the ledger, unless a request for a page is in flight for any reason.
+    /// Two at the same time would share a slow link and return the same rows.
     pub(super) fn read_ledger(&mut self) {
         self.catching_up = true;
         if self.is_reading_ledger() {
@@ -192,36 +192,36 @@
         self.ask_store_within(StorePurpose::ReadLedger { from }, request, time);
     }
 
-    /// Takes a page of the ledger, and goes on with the next unless the book is whole.
+    /// Handles a page of the ledger, and requests the next one unless the book is complete.
     pub(super) fn end_ledger_page(&mut self, from: u64, asked_at: CoreTime, outcome: StoreOutcome) {
         let lead = self.lead.as_deref();
         if lead.is_some_and(|lead| lead.loaded) {
             return;
         }
-        // What the leader before wrote until its end may be missing in an earlier page.
-        let own = lead.is_none_or(|lead| asked_at >= lead.began_at);
-        self.note_page(asked_at, &outcome);
+        // A page requested before this leadership began may lack the previous leader's last batches.
+        let current = lead.is_none_or(|lead| asked_at >= lead.began_at);
+        self.record_page_time(asked_at, &outcome);
         let StoreOutcome::Rows { rows, more, .. } = outcome else {
-            let soon = self.now + LOAD_PAUSE;
-            let heard = self.leader_is_heard();
+            let retry_at = self.now + READ_RETRY_DELAY;
+            let in_contact = self.leader_is_heard();
             match self.lead.as_deref_mut() {
-                Some(lead) => lead.load_at = Some(soon),
-                // It may have to lead next.
-                None if !heard => self.catch_up_at = Some(soon),
-                None => self.catch_up_at = Some(self.now + CATCH_UP_PAUSE),
+                Some(lead) => lead.load_at = Some(retry_at),
+                // Without a leader, this instance may have to lead next.
+                None if !in_contact => self.catch_up_at = Some(retry_at),
+                None => self.catch_up_at = Some(self.now + CATCH_UP_DELAY),
             }
             return;
         };
-        // A page from further on than the book ends was asked for before the book was dropped.
-        let joins = from <= self.applied + 1;
-        self.take_ledger_rows(&rows);
+        // A page that starts beyond the end of the book was requested before the book was cleared.
+        let continues_book = from <= self.applied + 1;
+        self.apply_ledger_rows(&rows);
         if let Some(lead) = self.lead.as_deref_mut() {
             lead.note_store_answer();
         }
-        if more || !joins || !own {
-            self.read_on();
+        if more || !continues_book || !current {
+            self.read_next_page();
         } else if self.lead.is_some() {
-            // Requests wait at the others until they are told.
+            // The peers hold requests back until a heartbeat says that the ledger has been read.
             self.next_heartbeat = self.now;
             self.next_far_heartbeat = self.now;
             self.next_slow_heartbeat = self.now;
@@ -231,7 +231,7 @@
         }
     }
 
-    fn read_on(&mut self) {
+    fn read_next_page(&mut self) {
         if self.lead.is_some() {
             self.load_ledger();
         } else {
@@ -239,8 +239,9 @@
         }
     }
 
-    /// Notes how a page of the ledger came, and logs it: a thin link takes long for a large one.
-    fn note_page(&mut self, asked_at: CoreTime, outcome: &StoreOutcome) {
+    /// Records and logs how long a page of the ledger took, which is long for a large one on a slow
+    /// link.
+    fn record_page_time(&mut self, asked_at: CoreTime, outcome: &StoreOutcome) {
         let took = self.age(asked_at);
         let latency = self.store_patience.usual();
         let rows = match outcome {
@@ -249,7 +250,7 @@
                 self.ledger_page.note_came(full, took, latency);
                 Some(rows.len())
             }
-            // The table did nothing: it says nothing of the link.
+            // The table did nothing, so this says nothing about the link.
             StoreOutcome::Busy => None,
             _ => {
                 if self.keeps(SiteGuard::LedgerProgress) {
@@ -260,30 +261,36 @@
         };
         let next = self.ledger_page;
         let detail = match rows {
-            Some(rows) => format!("{rows} rows after {took:?}, next {}", next.rows),
-            None => format!("none after {took:?}, next {} in {:?}", next.rows, next.time),
+            Some(rows) => format!(
+                "{rows} rows after {took:?}, next page of {} rows",
+                next.rows
+            ),
+            None => format!(
+                "no answer after {took:?}, next page of {} rows, timeout {:?}",
+                next.rows, next.time
+            ),
         };
         self.log("ledger", "page", self.applied.to_string(), detail);
     }
 
-    /// Takes the leader's row that was read while following.
+    /// Handles the leader's row that a follower has read.
     pub(super) fn end_leader_row(&mut self, outcome: &StoreOutcome) {
         match outcome {
             StoreOutcome::Rows { rows, .. } => self.take_leader_rows(rows),
-            _ if self.leader.is_none() => self.read_leader_later(),
+            _ if self.leader.is_none() => self.schedule_leader_row_read(),
             _ => {}
         }
     }
 
-    /// Has the leader's row read anew.
+    /// Schedules another read of the leader's row.
     ///
-    /// **NOTE:** What is known of the members stays: were they to be read anew as well, the answer
-    /// to a watch that is on its way would tell that they are known, and nobody would claim again.
-    fn read_leader_later(&mut self) {
-        self.leader_row_at = Some(self.now + LOAD_PAUSE);
+    /// **NOTE:** This does not read the members again. If it did, the answer to a watch that is in
+    /// flight would mark them as known without the read, and no instance would claim leadership again.
+    fn schedule_leader_row_read(&mut self) {
+        self.leader_row_at = Some(self.now + READ_RETRY_DELAY);
     }
 
-    /// Reads the leader's row anew if that is due.
+    /// Reads the leader's row again if that is due.
     pub(super) fn run_leader_row(&mut self) {
         if self.leader_row_at.is_none_or(|at| self.now < at) {
             return;
@@ -294,8 +301,8 @@
         }
     }
 
-    /// Applies those rows that follow each other without a gap.
-    pub(super) fn take_ledger_rows(&mut self, rows: &[crate::store::StoredRow]) {
+    /// Applies the rows that continue the book without a gap.
+    pub(super) fn apply_ledger_rows(&mut self, rows: &[crate::store::StoredRow]) {
         for row in rows.iter().filter(|row| row.key.table == LEDGER_TABLE) {
             let sequence = row.key.key.parse::<u64>().unwrap_or(0);
             if sequence == self.applied + 1 {
--- a/crates/bankvalve_queue/src/core/hubs.rs
+++ b/crates/bankvalve_queue/src/core/hubs.rs
@@ -1,9 +1,10 @@
-//! Hubs: on a site of many instances, near members pass messages on between the leader and others.
+//! Hubs: preferred members of a large site that relay messages between the leader and other members.
 //!
-//! An instance of 141 asks a few times a second, and each message by itself costs its leader an
-//! exchange of some 25 us and another for the reply. Through a few hubs many travel in one batch;
-//! each waits some 8 ms longer on its way. A message that a hub loses is lost as on any link: whoever
-//! needs an answer asks again, then the leader directly.
+//! On a site with 141 instances, each instance sends a few requests a second. A message that is sent
+//! by itself costs the leader an exchange of about 25 us, and its reply costs another one. Through a
+//! few hubs, many messages travel in one batch; each takes about 8 ms longer. A message that a hub
+//! loses is lost as on any other connection: a sender that needs an answer repeats its request, this
+//! time directly to the leader.
 
 use std::collections::hash_map::DefaultHasher;
 use std::hash::{Hash, Hasher};
@@ -14,16 +15,18 @@
 use crate::caller::CallerRequest;
 use crate::peer::{PeerAddress, PeerMessage};
 
-/// Members from which on messages go through hubs: below, the leader bears each of them.
-pub(super) const MANY_MEMBERS: usize = 64;
-/// A hub was heard this lately: more than two of the heartbeats that far members hear.
-const HUB_HEARD: Duration = Duration::from_millis(900);
+/// Number of members from which messages go through hubs. On smaller sites, the leader can handle each
+/// message by itself.
+pub(super) const LARGE_SITE_MEMBERS: usize = 64;
+/// Maximum time since the last heartbeat of a hub: more than two heartbeat intervals of other members.
+const HUB_CONTACT_TIMEOUT: Duration = Duration::from_millis(900);
 
-/// Near members that tell a far one how lately they heard the leader.
-const HUBS_OF_ONE: usize = 2;
+/// Number of hubs that report their last contact with the leader to each other member.
+const HUBS_PER_MEMBER: usize = 2;
 
-/// Weight of a pair, by which one of many is chosen for another: the greatest is. The choice stays
-/// while that one does, and the loss of one moves only what was its own.
+/// Returns the weight of a pair for rendezvous hashing: of several candidates, the one with the
+/// greatest weight is chosen. The choice is stable while that candidate is available, and the loss of a
+/// candidate moves only the choices that fell on it.
 pub(super) fn choice_weight(first: impl Hash, second: impl Hash) -> u64 {
     let mut hasher = DefaultHasher::new();
     (first, second).hash(&mut hasher);
@@ -31,17 +34,18 @@
 }
 
 impl EntryCore {
-    /// Tells whether the site has so many members that messages go through hubs.
+    /// Returns whether the site has so many members that messages go through hubs.
     pub(super) fn has_many_members(&self) -> bool {
-        self.peers.len() + 1 >= MANY_MEMBERS
+        self.peers.len() + 1 >= LARGE_SITE_MEMBERS
     }
 
-    /// Tells whether this member hears the leader at the slow pace, and of it through hubs.
+    /// Returns whether this instance gets heartbeats from the leader at the reduced rate and learns
+    /// more about it from hubs: it is not a preferred member, and the site is large.
     pub(super) fn is_far_of_many(&self) -> bool {
         self.has_many_members() && !self.near.contains(&self.settings.address)
     }
 
-    /// Says something to a member that may be far, through a hub if there is one.
+    /// Sends a message to a member, through a hub if there is one between this instance and the member.
     pub(super) fn tell_through_hub(&mut self, to: PeerAddress, message: PeerMessage) {
         match self.hub_between(to) {
             None => self.tell(to, message),
@@ -53,7 +57,7 @@
         }
     }
 
-    /// The hub between this instance and another: always the same near member while it lives.
+    /// Returns the hub between this instance and another, which stays the same while that hub is alive.
     fn hub_between(&self, to: PeerAddress) -> Option<PeerAddress> {
         if !self.has_many_members() {
             return None;
@@ -61,36 +65,38 @@
         let own = self.settings.address;
         let near = &self.near;
         let leads = self.lead.is_some();
-        let far = if leads { to } else { own };
-        if near.contains(&far) {
+        let member = if leads { to } else { own };
+        if near.contains(&member) {
             return None;
         }
-        let fit = |hub: &PeerAddress| {
+        let usable = |hub: &PeerAddress| {
             let peer = self.peers.get(hub);
             let live = peer.is_some_and(|peer| {
-                let heard = peer.heard_at.is_some_and(|at| self.age(at) < HUB_HEARD);
-                heard && !peer.news.stopping
+                let in_contact = peer
+                    .heard_at
+                    .is_some_and(|at| self.age(at) < HUB_CONTACT_TIMEOUT);
+                in_contact && !peer.news.stopping
             });
             *hub != to && *hub != own && live
         };
-        let weight = |hub: &PeerAddress| choice_weight(*hub, far);
-        near.iter().copied().filter(fit).max_by_key(weight)
+        let weight = |hub: &PeerAddress| choice_weight(*hub, member);
+        near.iter().copied().filter(usable).max_by_key(weight)
     }
 
-    /// Tells whether this near member is one of those that tell a far one of the leader.
-    pub(super) fn is_hub_of(&self, far: PeerAddress) -> bool {
+    /// Returns whether this instance is one of the hubs that report about the leader to another member.
+    pub(super) fn is_hub_of(&self, member: PeerAddress) -> bool {
         let own = self.settings.address;
-        if !self.has_many_members() || !self.near.contains(&own) || self.near.contains(&far) {
+        if !self.has_many_members() || !self.near.contains(&own) || self.near.contains(&member) {
             return false;
         }
         let leader = self.leader.as_ref().map(|leader| leader.address);
-        let own_weight = choice_weight(own, far);
+        let own_weight = choice_weight(own, member);
         let others = self.near.iter().filter(|hub| Some(**hub) != leader);
-        let before = others.filter(|hub| choice_weight(**hub, far) > own_weight);
-        before.count() < HUBS_OF_ONE
+        let before = others.filter(|hub| choice_weight(**hub, member) > own_weight);
+        before.count() < HUBS_PER_MEMBER
     }
 
-    /// Takes a message that came through a hub, or passes it on.
+    /// Handles a relayed message that is for this instance, or forwards it.
     pub(super) fn take_relayed(
         &mut self,
         from: PeerAddress,
@@ -99,14 +105,16 @@
     ) {
         if to == self.settings.address {
             self.take_message(from, *message);
-        } else if !self.answers_from_book(from, &message) {
+        } else if !self.answer_from_book(from, &message) {
             self.counters.count("calls", "relayed");
             self.tell(to, PeerMessage::Relay { from, to, message });
         }
     }
 
-    /// Takes up a question on its way to the leader that the own book can answer.
-    fn answers_from_book(&mut self, from: PeerAddress, message: &PeerMessage) -> bool {
+    /// Answers a status request to the leader from the local book, if that is possible.
+    ///
+    /// Returns whether this instance answers it, now or once its book has reached the read index.
+    fn answer_from_book(&mut self, from: PeerAddress, message: &PeerMessage) -> bool {
         let PeerMessage::Ask {
             ticket,
             caller,
--- a/crates/bankvalve_queue/src/core/load_limit.rs
+++ b/crates/bankvalve_queue/src/core/load_limit.rs
@@ -1,37 +1,39 @@
-//! How much new work a leader takes on: it falls quickly as it gets behind, and rises slowly.
+//! Load limit: the share of new jobs that a leader accepts. It falls quickly when the leader gets
+//! behind, and rises slowly.
 //!
-//! The pattern that it answers: jobs that come faster than the leader's processor can start them.
-//! Without a limit the events of accepted jobs wait behind those of new ones, orders go out too late
-//! to count, and twice the load serves half. The one measure is for how long an event waits for its
-//! turn, or a heartbeat and its echo take where the link is what is short. The share that it leaves is told in heartbeats, so that the instances that callers reach
-//! refuse the rest at once and the leader never sees it.
+//! Problem: jobs arrive faster than the leader's CPU can start them. Without a limit, the events of
+//! accepted jobs wait behind those of new ones, orders are sent too late to count, and twice the load
+//! completes half as much. The only measure is how long an event waits before it is handled or, if the
+//! link is the bottleneck, how long a heartbeat and its echo take. Heartbeats contain the refused
+//! share, so the instances that callers reach refuse those jobs at once and the leader never sees them.
 
 use std::time::Duration;
 
 use crate::ids::CoreTime;
 
-/// Wait of events beyond which less is taken on: orders still go out in time.
-const BEHIND: Duration = Duration::from_millis(150);
-/// Wait of events below which more is taken on.
-const LEVEL: Duration = Duration::from_millis(60);
-/// Time between two changes: a few heartbeats, so that what was changed shows.
-const PACE: Duration = Duration::from_millis(250);
-/// Share that is left of what was taken on, in percent, and what is added to it.
-const FALL_PERCENT: u32 = 70;
-const RISE: u32 = 3;
-/// Time for which a leader that took on less than all does with less: what is saved would otherwise
-/// be spent again at once, and the limit come back.
-const LIMITED_LATELY: Duration = Duration::from_secs(10);
-/// Least share, in percent: by it a leader notices that it can do more again.
-const LEAST: u32 = 3;
+/// Wait of events above which the share is lowered. At this wait, orders are still sent in time.
+const LOWER_ABOVE: Duration = Duration::from_millis(150);
+/// Wait of events below which the share is raised.
+const RAISE_BELOW: Duration = Duration::from_millis(60);
+/// Time between two changes of the share: a few heartbeats, so the effect of a change is visible.
+const ADJUST_INTERVAL: Duration = Duration::from_millis(250);
+/// Percentage to which the share is reduced when it is lowered, and percentage points that are added
+/// when it is raised.
+const LOWERED_PERCENT: u32 = 70;
+const RAISE_POINTS: u32 = 3;
+/// Time for which a leader keeps saving link capacity after it last refused a share of jobs. Otherwise
+/// it would spend the savings at once, and the limit would return.
+const LIMITED_RECENTLY: Duration = Duration::from_secs(10);
+/// Minimum share, in percent. It lets a leader notice that it can accept more again.
+const MIN_PERCENT: u32 = 3;
 
-/// The share of new jobs that is taken on, in percent.
+/// The share of new jobs that the leader accepts.
 #[derive(Debug)]
 pub(super) struct LoadLimit {
     percent: u32,
-    longest: Duration,
+    longest_wait: Duration,
     next_at: CoreTime,
-    /// When it last took on less than all.
+    /// When the share was last below 100 percent.
     limited_at: Option<CoreTime>,
 }
 
@@ -39,50 +41,50 @@
     pub(super) fn new(now: CoreTime) -> Self {
         Self {
             percent: 100,
-            longest: Duration::ZERO,
-            next_at: now + PACE,
+            longest_wait: Duration::ZERO,
+            next_at: now + ADJUST_INTERVAL,
             limited_at: None,
         }
     }
 
-    /// Notes for how long an event has waited, and changes the share when that is due.
+    /// Records how long an event has waited, and changes the share when that is due.
     pub(super) fn note(&mut self, now: CoreTime, wait: Duration) {
-        self.longest = self.longest.max(wait);
+        self.longest_wait = self.longest_wait.max(wait);
         if now < self.next_at {
             return;
         }
-        if self.longest > BEHIND {
-            self.percent = (self.percent * FALL_PERCENT / 100).max(LEAST);
-        } else if self.longest < LEVEL {
-            self.percent = (self.percent + RISE).min(100);
+        if self.longest_wait > LOWER_ABOVE {
+            self.percent = (self.percent * LOWERED_PERCENT / 100).max(MIN_PERCENT);
+        } else if self.longest_wait < RAISE_BELOW {
+            self.percent = (self.percent + RAISE_POINTS).min(100);
         }
         if self.percent < 100 {
             self.limited_at = Some(now);
         }
-        self.longest = Duration::ZERO;
-        self.next_at = now + PACE;
+        self.longest_wait = Duration::ZERO;
+        self.next_at = now + ADJUST_INTERVAL;
     }
 
-    /// Tells whether less than all was taken on lately, so that it is best to do with less.
+    /// Returns whether jobs were refused recently, so that the leader should save link capacity.
     pub(super) fn was_limited_lately(&self, now: CoreTime) -> bool {
-        let lately = |at: CoreTime| now.saturating_sub(at) < LIMITED_LATELY;
-        self.limited_at.is_some_and(lately)
+        let is_recent = |at: CoreTime| now.saturating_sub(at) < LIMITED_RECENTLY;
+        self.limited_at.is_some_and(is_recent)
     }
 
-    /// Share of new jobs that is taken on, in percent.
+    /// Returns the share of new jobs that the leader accepts, in percent.
     pub(super) fn percent(&self) -> u32 {
         self.percent
     }
 }
 
-/// Lets a share of jobs pass, evenly.
+/// Admits a share of jobs, evenly distributed.
 #[derive(Debug, Default)]
 pub(super) struct ShareGate {
     credit: u32,
 }
 
 impl ShareGate {
-    /// Tells whether the next one passes, if so many percent do.
+    /// Returns whether the next job is admitted, if `percent` of all jobs are.
     pub(super) fn passes(&mut self, percent: u32) -> bool {
         self.credit = (self.credit + percent).min(200);
         let passes = self.credit >= 100;
--- a/crates/bankvalve_queue/src/core/members.rs
+++ b/crates/bankvalve_queue/src/core/members.rs
@@ -1,4 +1,4 @@
-//! Members of the site: their rows, and heartbeats between them.
+//! Members of the site: their rows in the table, and the heartbeats between them.
 
 use std::time::Duration;
 
@@ -11,33 +11,36 @@
 use crate::peer::{HeartbeatNews, PeerAddress, PeerMessage};
 use crate::store::{RowKey, RowWrite, StoreOutcome, StoreRequest};
 
-/// Time between two heartbeats of near members; a takeover within about a second needs some four
-/// of them.
-const HEARTBEAT: Duration = Duration::from_millis(160);
-/// Time between two heartbeats to and from the others, which follow and do not take over: two of
-/// them fit into the time for which a peer counts as alive.
-const FAR_HEARTBEAT: Duration = Duration::from_millis(400);
-/// The same between the leader and the others on a site of many members, where near members tell
-/// the others how lately they heard the leader: 141 members at the pace above would cost it 700
-/// exchanges a second.
-const SLOW_HEARTBEAT: Duration = Duration::from_millis(2_000);
-/// Age of the last sign of the leader from which on a far member asks it for one.
-const LEADER_DOUBT: Duration = Duration::from_millis(800);
-/// A peer that was heard this lately counts as alive.
-const PEER_ALIVE: Duration = Duration::from_millis(900);
-/// The same of one that is heard at the slow pace: two heartbeats, and some.
-const SLOW_ALIVE: Duration = Duration::from_millis(4_500);
-/// Silence after which a member's row is dropped.
-const DROP_MEMBER_AFTER: Duration = Duration::from_secs(60);
+/// Interval between two heartbeats of preferred members. A takeover within about a second needs
+/// about four of them.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(160);
+/// Interval between two heartbeats with other members, which take over only if no preferred member
+/// can. Two of them fit into the time for which a peer counts as alive.
+const OTHER_HEARTBEAT_INTERVAL: Duration = Duration::from_millis(400);
+/// Interval between two heartbeats of the leader and another member on a large site, where preferred
+/// members report their last contact with the leader to the other members. With 141 members,
+/// heartbeats at the rate above would cost the leader 700 exchanges a second.
+const REDUCED_HEARTBEAT_INTERVAL: Duration = Duration::from_millis(2_000);
+/// Time without contact with the leader after which another member of a large site sends it
+/// heartbeats at the usual rate, each of which the leader answers at once.
+const LEADER_CONTACT_TIMEOUT: Duration = Duration::from_millis(800);
+/// Time without contact after which a peer no longer counts as alive.
+const PEER_TIMEOUT: Duration = Duration::from_millis(900);
+/// Time without contact after which a peer whose heartbeats come at the reduced rate of a large site
+/// no longer counts as alive: two heartbeats and a margin.
+const REDUCED_PEER_TIMEOUT: Duration = Duration::from_millis(4_500);
+/// Time without contact after which the leader removes a member's row.
+const REMOVE_MEMBER_AFTER: Duration = Duration::from_secs(60);
 
 impl EntryCore {
     pub(super) fn member_key(&self, address: PeerAddress) -> RowKey {
         RowKey::new(CELL_TABLE, MEMBER_PART, address.to_string())
     }
 
-    /// Keeps the own row in place and drops those of members that are long gone.
+    /// Writes this instance's row unless it is in place.
     pub(super) fn run_membership(&mut self) {
-        // The row of an earlier life says the same, so a start of all needs no writes.
+        // A row that an earlier process wrote with the same CPU capacity is enough, so a restart of
+        // all instances needs no writes.
         if self.registered || !self.members_known || !self.own_row.is_due(self.now) {
             return;
         }
@@ -74,8 +77,8 @@
         };
         if address == self.settings.address {
             let row = value.and_then(MemberRow::decode);
-            let stands = row.is_some_and(|row| row.strength == self.settings.strength);
-            self.registered = stands || self.stopping;
+            let in_place = row.is_some_and(|row| row.strength == self.settings.strength);
+            self.registered = in_place || self.stopping;
             return;
         }
         let Some(value) = value else {
@@ -99,31 +102,31 @@
         if self.now < self.next_heartbeat {
             return;
         }
-        self.next_heartbeat = self.now + HEARTBEAT;
-        let far_due = self.now >= self.next_far_heartbeat;
-        if far_due {
-            self.next_far_heartbeat = self.now + FAR_HEARTBEAT;
+        self.next_heartbeat = self.now + HEARTBEAT_INTERVAL;
+        let other_due = self.now >= self.next_far_heartbeat;
+        if other_due {
+            self.next_far_heartbeat = self.now + OTHER_HEARTBEAT_INTERVAL;
         }
-        let slow_due = self.now >= self.next_slow_heartbeat;
-        if slow_due {
-            self.next_slow_heartbeat = self.now + SLOW_HEARTBEAT;
+        let reduced_due = self.now >= self.next_slow_heartbeat;
+        if reduced_due {
+            self.next_slow_heartbeat = self.now + REDUCED_HEARTBEAT_INTERVAL;
         }
         self.near = self.near_members();
         let news = self.own_news();
-        for peer in self.heartbeat_targets(far_due, slow_due) {
+        for peer in self.heartbeat_targets(other_due, reduced_due) {
             let news = self.news_for(peer, &news);
             self.tell(peer, PeerMessage::Heartbeat(news));
         }
-        let wait = self.least_round_trip();
+        let wait = self.min_round_trip();
         if let Some(lead) = self.lead.as_deref_mut() {
             lead.way_time = wait;
             lead.load.note(self.now, wait.min(lead.link_time(self.now)));
         }
         self.tell_measures();
-        self.drop_gone_members();
+        self.remove_lost_members();
     }
 
-    /// What the own heartbeats tell now.
+    /// Returns the contents of a heartbeat, except for the parts that differ by receiver.
     pub(super) fn own_news(&self) -> HeartbeatNews {
         let leader = self.leader.as_ref();
         let lead = self.lead.as_deref();
@@ -158,18 +161,18 @@
         }
     }
 
-    pub(super) fn drop_gone_members(&mut self) {
+    pub(super) fn remove_lost_members(&mut self) {
         let Some(lead) = self.lead.as_deref() else {
             return;
         };
-        // Members may have told only the leader before that they are alive.
+        // Until now, members may have sent heartbeats only to the previous leader.
         let began_at = lead.began_at;
-        let silent = |peer: &PeerView| {
+        let is_lost = |peer: &PeerView| {
             let since = peer.heard_at.unwrap_or(peer.known_at).max(began_at);
-            self.now.saturating_sub(since) > DROP_MEMBER_AFTER
+            self.now.saturating_sub(since) > REMOVE_MEMBER_AFTER
         };
-        let gone = self.peers.iter().find(|(_, peer)| silent(peer));
-        let Some(address) = gone.map(|(address, _)| *address) else {
+        let lost_peer = self.peers.iter().find(|(_, peer)| is_lost(peer));
+        let Some(address) = lost_peer.map(|(address, _)| *address) else {
             return;
         };
         self.peers.remove(&address);
@@ -189,16 +192,16 @@
         self.end_gift(from, news.table_version);
         if let Some(lead) = &self.lead {
             if news.epoch > lead.epoch {
-                self.depose("a peer knows a later epoch");
+                self.depose("a peer reported a later epoch");
             }
         }
         if news.store_trouble {
             self.probe_store();
         }
-        self.hear_of_leader(from, &news);
+        self.update_leader_contact(from, &news);
         if news.leading {
             self.hear_leader(from, &news);
-        } else if self.is_gone_leader(from, &news) {
+        } else if self.is_new_process_of_leader(from, &news) {
             self.lose_leader();
             if let Some(leader) = self.leader.as_mut() {
                 leader.ended |= news.life > leader.life;
@@ -212,28 +215,30 @@
             ..PeerView::default()
         });
         if peer.news.life != news.life {
-            // What an earlier life heard says nothing of this one.
+            // Echoes from an earlier process of the peer say nothing about this one.
             peer.echo = PeerEcho::default();
         }
-        let doubt = slow && news.leader_age_ms > LEADER_DOUBT.as_millis() as u64;
-        let first = peer.heard_at.is_none() || doubt;
+        let lacks_leader = slow && news.leader_age_ms > LEADER_CONTACT_TIMEOUT.as_millis() as u64;
+        let answer_now = peer.heard_at.is_none() || lacks_leader;
         peer.heard_at = Some(now);
         peer.strength = news.strength;
         peer.slow = slow;
         peer.echo.note(now, &news);
         peer.news = news;
         self.note_unheard_leaders();
-        if first && self.lead.is_some() {
-            // It should not have to wait for the next heartbeat to know who leads.
+        if answer_now && self.lead.is_some() {
+            // The peer should learn who leads without waiting for the next heartbeat.
             let news = self.news_for(from, &self.own_news());
             self.tell(from, PeerMessage::Heartbeat(news));
         }
     }
 
-    /// Takes from a near member how lately it heard the leader, on a site of many members.
+    /// Updates the last contact with the leader from the report of a preferred member on a large
+    /// site.
     ///
-    /// Near members hear the leader themselves: what they hear of it must not come back to them.
-    fn hear_of_leader(&mut self, from: PeerAddress, news: &HeartbeatNews) {
+    /// Only other members do so. Preferred members are in contact with the leader themselves, and
+    /// their reports must not come back to them.
+    fn update_leader_contact(&mut self, from: PeerAddress, news: &HeartbeatNews) {
         if !self.is_far_of_many() || !self.near.contains(&from) || news.leading {
             return;
         }
@@ -250,13 +255,14 @@
         }
     }
 
-    /// Tells whether the leader is to be asked for a sign of life.
+    /// Returns whether the last contact with the leader is so old that this instance should request
+    /// a heartbeat from it.
     pub(super) fn doubts_leader(&self) -> bool {
-        let heard = |leader: &LeaderView| self.age(leader.heard_at) < LEADER_DOUBT;
-        !self.leader.as_ref().is_some_and(heard)
+        let recent = |leader: &LeaderView| self.age(leader.heard_at) < LEADER_CONTACT_TIMEOUT;
+        !self.leader.as_ref().is_some_and(recent)
     }
 
-    /// A peer does not answer; a leader that refuses connections is suspected at once.
+    /// Handles a peer that does not answer. A leader that refuses connections is suspected at once.
     pub(super) fn peer_unreached(&mut self, peer: PeerAddress, refused: bool) {
         self.counters.count("retries", "peer_unreached");
         let why = if refused {
@@ -264,9 +270,9 @@
         } else {
             "no answer or no connection in time"
         };
-        // Only while it counts as alive: one that is gone is tried for a minute.
-        let live = |view: &PeerView| view.is_live(self.now);
-        if self.peers.get(&peer).is_some_and(live) {
+        // Logged only while the peer counts as alive: messages to a lost one are tried for a minute.
+        let is_live = |view: &PeerView| view.is_live(self.now);
+        if self.peers.get(&peer).is_some_and(is_live) {
             self.log("members", "unreached", peer.to_string(), why.to_owned());
         }
         if let Some(view) = self.peers.get_mut(&peer) {
@@ -274,7 +280,7 @@
                 view.heard_at = None;
                 view.known_at = view
                     .known_at
-                    .max(self.now.saturating_sub(DROP_MEMBER_AFTER / 2));
+                    .max(self.now.saturating_sub(REMOVE_MEMBER_AFTER / 2));
             }
         }
         self.reassign_advice(peer);
@@ -282,12 +288,12 @@
             self.lose_carrier(peer);
         }
         self.lose_giver(peer);
-        let leads = self.lead.is_none()
+        let is_leader = self.lead.is_none()
             && self
                 .leader
                 .as_ref()
                 .is_some_and(|leader| leader.address == peer);
-        if refused && leads {
+        if refused && is_leader {
             self.lose_leader();
         }
     }
@@ -302,10 +308,14 @@
 }
 
 impl PeerView {
-    /// Tells whether the peer was heard so lately that it counts as alive.
+    /// Returns whether the last contact with the peer is recent enough that it counts as alive.
     pub(super) fn is_live(&self, now: CoreTime) -> bool {
-        let alive = if self.slow { SLOW_ALIVE } else { PEER_ALIVE };
+        let timeout = if self.slow {
+            REDUCED_PEER_TIMEOUT
+        } else {
+            PEER_TIMEOUT
+        };
         self.heard_at
-            .is_some_and(|at| now.saturating_sub(at) < alive)
+            .is_some_and(|at| now.saturating_sub(at) < timeout)
     }
 }
--- a/crates/bankvalve_queue/src/core/round_trip.rs
+++ b/crates/bankvalve_queue/src/core/round_trip.rs
@@ -1,10 +1,10 @@
-//! How long a heartbeat and its echo take: how far behind the leader's link is.
+//! Round-trip times of heartbeats, which show how congested the leader's link is.
 //!
-//! The pattern that it answers: a link that is full. What waits to be sent waits in the sockets,
-//! where the leader does not see it, and its heartbeats wait behind; unless it takes on less, it is
-//! taken for gone. So each heartbeat says when it was sent, and brings back what the other side said
-//! last and for how long it has had it. The least of the near members' counts: one that is slow or
-//! cut off says nothing of the own link.
+//! Problem: on a full link, outgoing data waits in the sockets, where the leader does not see it, and
+//! its heartbeats wait behind that data. Unless the leader accepts less work, its peers consider it
+//! lost. So each heartbeat contains its send time, and an echo: the send time of the last heartbeat
+//! from the other side and how long ago it arrived. The minimum over the preferred members counts,
+//! because a member that is slow or cut off says nothing about this instance's link.
 
 use std::time::Duration;
 
@@ -13,77 +13,80 @@
 use crate::ids::CoreTime;
 use crate::peer::{HeartbeatEcho, HeartbeatNews, PeerAddress};
 
-/// Peers that must be alive for their echoes to tell of the own link.
-const PEERS_AT_LEAST: usize = 2;
-/// Pause between two echoes of a near member, with one that is lost: two heartbeats.
-const ECHO_PAUSE: Duration = Duration::from_millis(320);
+/// Number of peers that must be alive before their echoes say anything about this instance's link.
+const MIN_PEERS: usize = 2;
+/// Time between two echoes from a preferred member if one is lost: two heartbeats.
+const MAX_ECHO_INTERVAL: Duration = Duration::from_millis(320);
 
-/// Most that is reckoned for a way and back: what is on it longer is lost.
+/// Upper limit of a round trip. A message that takes longer is considered lost.
 pub(super) const WAY_MOST: Duration = Duration::from_millis(1_500);
 
-/// What a peer's heartbeats tell of the way to it and back.
+/// What a peer's heartbeats say about the round trip to it.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct PeerEcho {
-    /// When its last heartbeat was sent, by its own clock, and when it came.
-    heard: Option<(u64, CoreTime)>,
-    /// When its first heartbeat of this life came.
-    first_heard: Option<CoreTime>,
-    /// How long the way there and back took last, and when that was known.
-    took: Option<(Duration, CoreTime)>,
-    /// When the last was sent of what it is known to have heard, by our clock.
+    /// Send time of its last heartbeat in milliseconds, by the peer's clock, and time of arrival.
+    last_heartbeat: Option<(u64, CoreTime)>,
+    /// When the first heartbeat of its present process arrived.
+    first_heartbeat: Option<CoreTime>,
+    /// The last round-trip time, and when its echo arrived.
+    last_round_trip: Option<(Duration, CoreTime)>,
+    /// Send time, by this instance's clock, of the last heartbeat that the peer is known to have
+    /// received.
     contact: Option<CoreTime>,
 }
 
 impl PeerEcho {
-    /// Takes what a heartbeat brings.
+    /// Records a heartbeat and its echo.
     pub(super) fn note(&mut self, now: CoreTime, news: &HeartbeatNews) {
-        self.heard = Some((news.sent_ms, now));
-        self.first_heard.get_or_insert(now);
+        self.last_heartbeat = Some((news.sent_ms, now));
+        self.first_heartbeat.get_or_insert(now);
         let Some(echo) = &news.echo else {
             return;
         };
-        let gone = Duration::from_millis(echo.sent_ms + echo.held_ms);
-        self.took = Some((now.saturating_sub(gone), now));
-        // Our life of before may have sent what it echoes.
+        let elsewhere = Duration::from_millis(echo.sent_ms + echo.held_ms);
+        self.last_round_trip = Some((now.saturating_sub(elsewhere), now));
+        // An earlier process of this instance may have sent the heartbeat that is echoed.
         let sent_at = Duration::from_millis(echo.sent_ms);
         if sent_at <= now {
             self.contact = self.contact.max(Some(sent_at));
         }
     }
 
-    /// When the last was sent that it is known to have heard. It goes by when we sent it, not by when
-    /// the word of it came: that may have waited while this instance stood still.
+    /// Returns the send time of the last heartbeat that the peer is known to have received. The arrival
+    /// time of its echo would be wrong: the echo may have waited while this instance was frozen.
     pub(super) fn contact(&self) -> Option<CoreTime> {
         self.contact
     }
 
-    /// When its last heartbeat came.
+    /// Returns when its last heartbeat arrived.
     pub(super) fn heard_at(&self) -> Option<CoreTime> {
-        self.heard.map(|(_, at)| at)
+        self.last_heartbeat.map(|(_, at)| at)
     }
 
-    /// Whether it has heard that we heard it: it then counts this instance as in touch.
+    /// Returns whether the peer knows that this instance receives its heartbeats. It then counts this
+    /// instance as in mutual contact.
     pub(super) fn is_mutual(&self) -> bool {
-        let heard = self.first_heard.zip(self.contact);
-        heard.is_some_and(|(first, contact)| contact >= first)
+        let times = self.first_heartbeat.zip(self.contact);
+        times.is_some_and(|(first, contact)| contact >= first)
     }
 
     fn echo(&self, now: CoreTime) -> Option<HeartbeatEcho> {
-        let (sent_ms, heard_at) = self.heard?;
-        let held_ms = now.saturating_sub(heard_at).as_millis() as u64;
+        let (sent_ms, arrived_at) = self.last_heartbeat?;
+        let held_ms = now.saturating_sub(arrived_at).as_millis() as u64;
         Some(HeartbeatEcho { sent_ms, held_ms })
     }
 
-    /// Time that the way takes now; one whose echo does not come takes at least as long as that.
-    fn time(&self, now: CoreTime) -> Option<Duration> {
-        let (took, at) = self.took?;
-        let missing = now.saturating_sub(at).saturating_sub(ECHO_PAUSE);
-        Some(took.max(missing))
+    /// Returns the present round-trip time. If an echo is overdue, the round trip takes at least as
+    /// long as it has been overdue.
+    fn round_trip(&self, now: CoreTime) -> Option<Duration> {
+        let (measured, at) = self.last_round_trip?;
+        let overdue = now.saturating_sub(at).saturating_sub(MAX_ECHO_INTERVAL);
+        Some(measured.max(overdue))
     }
 }
 
 impl EntryCore {
-    /// Puts into a heartbeat what is for one peer alone.
+    /// Adds the parts of a heartbeat that are specific to one peer.
     pub(super) fn news_for(&self, peer: PeerAddress, news: &HeartbeatNews) -> HeartbeatNews {
         HeartbeatNews {
             sent_ms: self.now.as_millis() as u64,
@@ -95,31 +98,36 @@
         }
     }
 
-    /// Time that the way to the leader and back takes: a question that is sent again before its
-    /// answer can have come goes over the same full link.
+    /// Returns the round-trip time to the leader. A request that is repeated before its answer can have
+    /// arrived goes over the same congested link.
     pub(super) fn way_to_leader(&self) -> Duration {
         let leader = self.leader.as_ref().map(|leader| leader.address);
         let peer = leader.and_then(|leader| self.peers.get(&leader));
         let echo = peer.map(|peer| &peer.echo);
         let time = if self.is_far_of_many() {
-            // Echoes come at the slow pace: a missing one would count as a way of a second and a half,
-            // and the question be sent again when its caller's time is nearly over. What hubs tell of
-            // the leader's silence holds questions back sooner.
-            echo.and_then(|echo| echo.took).map(|(took, _)| took)
+            // Echoes come at the reduced rate. An overdue one would count as a round trip of a second
+            // and a half, and the request would be repeated when its caller's time has almost run out.
+            // The hubs' reports of lost contact with the leader hold requests back sooner.
+            echo.and_then(|echo| echo.last_round_trip)
+                .map(|(measured, _)| measured)
         } else {
-            echo.and_then(|echo| echo.time(self.now))
+            echo.and_then(|echo| echo.round_trip(self.now))
         };
         time.unwrap_or_default().min(WAY_MOST)
     }
 
-    /// Least time that a heartbeat and its echo take among the near members that live; nothing while
-    /// there are too few.
-    pub(super) fn least_round_trip(&self) -> Duration {
+    /// Returns the shortest round-trip time among the live preferred members, or zero if there are too
+    /// few of them.
+    pub(super) fn min_round_trip(&self) -> Duration {
         let near = |address: &&PeerAddress| self.near.contains(address);
-        let time = |peer: &PeerView| peer.echo.time(self.now).filter(|_| peer.is_live(self.now));
+        let time = |peer: &PeerView| {
+            peer.echo
+                .round_trip(self.now)
+                .filter(|_| peer.is_live(self.now))
+        };
         let peers = self.peers.iter().filter(|(address, _)| near(address));
         let times: Vec<Duration> = peers.filter_map(|(_, peer)| time(peer)).collect();
-        if times.len() < PEERS_AT_LEAST {
+        if times.len() < MIN_PEERS {
             return Duration::ZERO;
         }
         times.into_iter().min().unwrap_or_default()
--- a/crates/bankvalve_queue/src/core/sight.rs
+++ b/crates/bankvalve_queue/src/core/sight.rs
@@ -1,20 +1,19 @@
-//! What an instance tells of itself beside its decisions: whether it may be given callers and why
-//! not, and which requests it gave up.
+//! Readiness of the instance for callers, and log texts about requests that timed out.
 
 use super::callers::OpenAsk;
 use super::EntryCore;
 use crate::caller::CallerRequest;
 
-/// Why an instance may not be given callers.
+/// Reason why an instance is not ready for callers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum UnreadyReason {
     /// It has no configuration.
     NoTable,
-    /// It stops.
+    /// It is stopping.
     Stopping,
-    /// It has never heard of a leader.
+    /// It knows no leader.
     NoLeader,
-    /// It has not heard its leader for too long.
+    /// It has had no contact with its leader for too long.
     SilentLeader,
 }
 
@@ -22,15 +21,15 @@
     fn as_str(self) -> &'static str {
         match self {
             UnreadyReason::NoTable => "no configuration",
-            UnreadyReason::Stopping => "it stops",
+            UnreadyReason::Stopping => "the instance is stopping",
             UnreadyReason::NoLeader => "no leader is known",
-            UnreadyReason::SilentLeader => "its leader is silent",
+            UnreadyReason::SilentLeader => "no contact with the leader",
         }
     }
 }
 
 impl EntryCore {
-    /// Why the instance may not be given callers; none if it may.
+    /// Returns why the instance is not ready for callers, or `None` if it is ready.
     pub(super) fn unready_reason(&self) -> Option<UnreadyReason> {
         if self.table.is_none() {
             Some(UnreadyReason::NoTable)
@@ -45,7 +44,7 @@
         }
     }
 
-    /// Logs that the instance has become ready, or is not and why.
+    /// Logs that the instance has become ready, or why it is not, whenever that changes.
     pub(super) fn tell_readiness(&mut self) {
         let reason = self.unready_reason();
         if self.told_unready == Some(reason) {
@@ -67,7 +66,7 @@
         self.log("entry", event, String::new(), detail);
     }
 
-    /// Logs a request that is given up: what was asked, how long ago, and where it was last sent.
+    /// Logs a request that timed out: what it asked for, how long ago, and where it was last sent.
     pub(super) fn log_given_up(&mut self, ask: &OpenAsk) {
         let kind = request_kind(&ask.request);
         let sent = match ask.sent {
@@ -83,7 +82,7 @@
         self.log("callers", "give_up", job_text(&ask.request), detail);
     }
 
-    /// Who leads, and how long ago that was heard.
+    /// Describes the leader and the age of the last contact with it.
     fn leader_text(&self) -> String {
         match &self.leader {
             None => "no leader".to_owned(),
@@ -99,7 +98,7 @@
     }
 }
 
-/// What a request asks for.
+/// Returns the kind of a request as the log names it.
 fn request_kind(request: &CallerRequest) -> &'static str {
     match request {
         CallerRequest::Submit { .. } => "submit",
@@ -109,7 +108,7 @@
     }
 }
 
-/// The job that a request is about, as the log names it; nothing for a count.
+/// Returns the job that a request is about, as the log names it; empty for a count.
 pub(super) fn job_text(request: &CallerRequest) -> String {
     match request {
         CallerRequest::Submit { spec, .. } => format!("{:016x}", spec.id),
--- a/crates/bankvalve_queue/src/core/standby.rs
+++ b/crates/bankvalve_queue/src/core/standby.rs
@@ -1,9 +1,10 @@
-//! Who is near: the strongest members hear each other often and keep the leader's book.
+//! Ranking of members by CPU capacity: preferred members, standbys and successors.
 //!
-//! On a site of many instances a heartbeat from each to each, and every batch of the ledger to
-//! each, would take most of the processor of the small ones. So the first few members, by
-//! strength, are near: they hear each other and the leader at the full pace, and those that live
-//! are sent what is kept, so that they can take over at once. The others hear the leader only.
+//! On a site with many instances, heartbeats between all pairs and each ledger batch to every member
+//! would take most of the CPU of the small instances. So the few members with the most CPU are
+//! preferred. They exchange heartbeats with each other and with the leader at the full rate, and the
+//! live ones receive each committed batch, which lets them take over at once. The other members
+//! receive heartbeats from the leader and, on a large site, from hubs.
 
 use std::cmp::Reverse;
 use std::time::Duration;
@@ -15,23 +16,23 @@
 use super::EntryCore;
 use crate::peer::PeerAddress;
 
-/// Members that are near, by rank: on sites of today all of them, or two thirds.
-const NEAR_MEMBERS: usize = 6;
-/// Members, by rank, that read the ledger as soon as they start: reading it takes some tenths of a
-/// second, in which a leader is being agreed on after a loss of all.
-const FIRST_HEIRS: usize = 2;
-/// Time in which a member that is known from its row only is reckoned to be starting.
-const STARTING: Duration = Duration::from_millis(500);
+/// Number of preferred members, by rank. On current sites these are all members or two thirds.
+const PREFERRED_COUNT: usize = 6;
+/// Number of members, by rank, that read the ledger as soon as they start. Reading takes a few tenths
+/// of a second, and after a loss of all instances the election runs at the same time.
+const FIRST_SUCCESSORS: usize = 2;
+/// Time for which a member that is known only from its row is assumed to be starting.
+const STARTUP_GRACE: Duration = Duration::from_millis(500);
 
-/// Order of members; smaller ones come first.
+/// Rank of a member; the smallest is first.
 type MemberRank = (Reverse<u64>, PeerAddress);
 
-/// Content of a member's row.
+/// Contents of a member's row.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) struct MemberRow {
-    /// Start of its life, milliseconds since 1970.
+    /// Start time of its process, in milliseconds since 1970.
     pub(super) life: u64,
-    /// Processor that it has, in thousandths of a core.
+    /// CPU capacity, in thousandths of a core.
     pub(super) strength: u64,
 }
 
@@ -46,11 +47,11 @@
 }
 
 impl EntryCore {
-    fn own_rank(&self) -> MemberRank {
+    fn local_rank(&self) -> MemberRank {
         (Reverse(self.settings.strength), self.settings.address)
     }
 
-    /// All members but this one, the strongest first.
+    /// Returns all members except this one, most CPU first.
     fn ranked_peers(&self) -> Vec<(MemberRank, &PeerView)> {
         let mut ranked: Vec<(MemberRank, &PeerView)> = self
             .peers
@@ -61,92 +62,100 @@
         ranked
     }
 
-    /// The near members, with this one if it is near.
+    /// Returns the preferred members, including this instance if it is one.
     pub(super) fn near_members(&self) -> Vec<PeerAddress> {
         let mut ranks: Vec<MemberRank> =
             self.ranked_peers().iter().map(|(rank, _)| *rank).collect();
-        ranks.push(self.own_rank());
+        ranks.push(self.local_rank());
         ranks.sort_unstable();
-        ranks.truncate(NEAR_MEMBERS);
+        ranks.truncate(PREFERRED_COUNT);
         ranks.into_iter().map(|(_, address)| address).collect()
     }
 
-    /// Tells whether this instance leads and a peer is far, on a site of many members.
+    /// Returns whether heartbeats with a peer come at the reduced rate: this instance leads a large
+    /// site, and the peer is not a preferred member.
     pub(super) fn is_slow_pair(&self, peer: PeerAddress) -> bool {
         self.lead.is_some() && self.has_many_members() && !self.near.contains(&peer)
     }
 
-    /// Members that are sent a heartbeat now; the far ones only when theirs is due.
-    pub(super) fn heartbeat_targets(&self, far_due: bool, slow_due: bool) -> Vec<PeerAddress> {
-        let near = self.near_members();
-        let is_near = |address: &PeerAddress| near.contains(address);
-        let own_near = is_near(&self.settings.address);
+    /// Returns the members to send a heartbeat to now.
+    ///
+    /// Heartbeats between preferred members, and between them and the leader, are always due when
+    /// this is called. `other_due` says whether those with other members are due, and `reduced_due`
+    /// whether those of the leader and another member on a large site are.
+    pub(super) fn heartbeat_targets(&self, other_due: bool, reduced_due: bool) -> Vec<PeerAddress> {
+        let preferred = self.near_members();
+        let is_preferred = |address: &PeerAddress| preferred.contains(address);
+        let local_preferred = is_preferred(&self.settings.address);
         let leads = self.lead.is_some();
         let leader = self.leader.as_ref().map(|leader| leader.address);
-        let (many, doubts) = (self.has_many_members(), self.doubts_leader());
-        let pairs = |peer: &PeerAddress| {
-            let near_pair = own_near && is_near(peer);
-            let led_near = (leads && is_near(peer)) || (own_near && leader == Some(*peer));
+        let (large_site, lacks_contact) = (self.has_many_members(), self.doubts_leader());
+        let is_due = |peer: &PeerAddress| {
+            let preferred_pair = local_preferred && is_preferred(peer);
+            let leader_pair =
+                (leads && is_preferred(peer)) || (local_preferred && leader == Some(*peer));
             let with_leader = leads || leader == Some(*peer);
-            let due = if many && with_leader {
-                slow_due || (far_due && !leads && doubts)
+            let due = if large_site && with_leader {
+                reduced_due || (other_due && !leads && lacks_contact)
             } else {
-                far_due
+                other_due
             };
-            let told = far_due && self.is_hub_of(*peer);
-            near_pair || led_near || told || (due && (with_leader || is_near(peer)))
+            let as_hub = other_due && self.is_hub_of(*peer);
+            preferred_pair || leader_pair || as_hub || (due && (with_leader || is_preferred(peer)))
         };
-        self.peers.keys().copied().filter(pairs).collect()
+        self.peers.keys().copied().filter(is_due).collect()
     }
 
-    /// Tells whether this member is among the first to take over, by rank.
+    /// Returns whether this member is among the first to take over, by rank.
     pub(super) fn is_first_heir(&self) -> bool {
-        let near = self.near_members();
-        let first = &near[..near.len().min(FIRST_HEIRS)];
+        let preferred = self.near_members();
+        let first = &preferred[..preferred.len().min(FIRST_SUCCESSORS)];
         first.contains(&self.settings.address)
     }
 
-    /// Live members that keep the leader's book, the strongest first.
+    /// Returns the live members that receive the leader's ledger batches, most CPU first.
     pub(super) fn live_standbys(&self) -> Vec<PeerAddress> {
         self.ranked_peers()
             .into_iter()
             .filter(|(_, peer)| peer.is_live(self.now))
             .map(|((_, address), _)| address)
-            .take(NEAR_MEMBERS - 1)
+            .take(PREFERRED_COUNT - 1)
             .collect()
     }
 
-    /// Tells whether this member is not near while a near one lives that the table answers.
+    /// Returns whether this instance is not a preferred member, while a preferred member that the
+    /// table answers is alive.
     pub(super) fn is_behind_near_members(&self) -> bool {
-        let near = self.near_members();
+        let preferred = self.near_members();
         let leader = self.leader.as_ref().map(|leader| leader.address);
-        let fit = |address: &PeerAddress| {
+        let may_claim = |address: &PeerAddress| {
             let peer = self.peers.get(address);
-            let able = |peer: &PeerView| peer.is_live(self.now) && reaches_table(peer);
-            Some(*address) != leader && peer.is_some_and(able)
+            let is_able = |peer: &PeerView| peer.is_live(self.now) && reaches_table(peer);
+            Some(*address) != leader && peer.is_some_and(is_able)
         };
-        !near.contains(&self.settings.address) && near.iter().any(fit)
+        !preferred.contains(&self.settings.address) && preferred.iter().any(may_claim)
     }
 
-    /// Members that may claim the lead before this one: near ones, and others.
+    /// Counts the members that may claim leadership before this one: preferred members, and others.
     ///
-    /// Of members that it hears often only those that are alive count; of the others, which a
-    /// member that is not near does not hear, all do.
+    /// A preferred member counts only those preferred members that are alive or starting. Any other
+    /// member counts all of them, and all members count every other member, because they may receive
+    /// no heartbeats from those.
     pub(super) fn members_before_own(&self) -> (u32, u32) {
-        let own = self.own_rank();
-        let near = self.near_members();
-        let own_near = near.contains(&self.settings.address);
+        let local = self.local_rank();
+        let preferred = self.near_members();
+        let local_preferred = preferred.contains(&self.settings.address);
         let leader = self.leader.as_ref().map(|leader| leader.address);
         let mut before = (0, 0);
         for ((strength, address), peer) in self.ranked_peers() {
-            if (strength, address) >= own || Some(address) == leader || peer.news.stopping {
+            if (strength, address) >= local || Some(address) == leader || peer.news.stopping {
                 continue;
             }
-            let starting = peer.heard_at.is_none() && self.age(peer.known_at) < STARTING;
+            let starting = peer.heard_at.is_none() && self.age(peer.known_at) < STARTUP_GRACE;
             let live = peer.is_live(self.now);
-            if !near.contains(&address) {
+            if !preferred.contains(&address) {
                 before.1 += 1;
-            } else if live || starting || !own_near {
+            } else if live || starting || !local_preferred {
                 before.0 += 1;
             }
         }
--- a/crates/bankvalve_queue/src/core/table_pull.rs
+++ b/crates/bankvalve_queue/src/core/table_pull.rs
@@ -1,7 +1,8 @@
-//! Having the configuration from a peer, if the table does not answer this instance.
+//! Pulling the configuration from a peer when the table does not answer this instance.
 //!
-//! It asks a few peers at a time whether they have a newer one, and takes it from the first that
-//! says so. A peer gives one copy away at a time, since a large one fills a thin link for a second.
+//! The instance asks a few peers at a time whether they have a newer configuration, and pulls it from
+//! the first that offers one. A peer sends one copy at a time, since a large one fills a slow link for
+//! a second.
 
 use std::time::Duration;
 
@@ -10,27 +11,27 @@
 use crate::ids::CoreTime;
 use crate::peer::{peer_time, PeerAddress, PeerMessage};
 
-/// Peers that are asked at a time: some may be dead, or have no newer one either.
-const ASKED_AT_ONCE: usize = 3;
-/// Longest wait until one of them says that it has.
-const OFFER_TIME: Duration = Duration::from_millis(400);
-/// Least time between two configurations that are had from peers: in a quick series only the last
-/// one counts.
-const PULL_PAUSE: Duration = Duration::from_millis(1_000);
+/// Number of peers asked at a time: some may be dead, or have no newer configuration either.
+const PEERS_PER_QUERY: usize = 3;
+/// Maximum wait for an offer from one of them.
+const OFFER_TIMEOUT: Duration = Duration::from_millis(400);
+/// Minimum time between two configurations pulled from peers: in a quick series only the last one
+/// counts.
+const MIN_PULL_INTERVAL: Duration = Duration::from_millis(1_000);
 
-/// A configuration that is asked of peers.
+/// State of pulling a configuration from peers.
 #[derive(Debug, Default)]
 pub(super) struct PeerPull {
-    /// Peer that gives it, and until when that is waited for.
-    giver: Option<(PeerAddress, CoreTime)>,
-    /// Peers that were asked in this round, and rounds since a configuration came.
-    tries: usize,
-    rounds: usize,
-    /// When the next ones are asked.
+    /// Peer that sends the configuration, and the deadline for its arrival.
+    source: Option<(PeerAddress, CoreTime)>,
+    /// Number of peers asked in this round, and number of rounds since a configuration arrived.
+    asked_count: usize,
+    round_count: usize,
+    /// When the next peers are asked.
     next_at: CoreTime,
 }
 
-/// A configuration that is on its way to a peer.
+/// A copy of the configuration that is being sent to a peer.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct PeerGift {
     to: PeerAddress,
@@ -39,29 +40,29 @@
 }
 
 impl EntryCore {
-    /// Asks peers for a newer configuration that the table does not give.
+    /// Asks peers for a newer configuration if the table does not answer.
     pub(super) fn run_pull(&mut self) {
         let now = self.now;
         if !self.is_behind_announced() || !self.tables.is_unanswered(now) {
             return;
         }
         let pull = &mut self.tables.pull;
-        if pull.giver.is_some_and(|(_, until)| now < until) || now < pull.next_at {
+        if pull.source.is_some_and(|(_, until)| now < until) || now < pull.next_at {
             return;
         }
-        pull.giver = None;
-        pull.next_at = now + OFFER_TIME;
-        let asked = self.table_givers();
+        pull.source = None;
+        pull.next_at = now + OFFER_TIMEOUT;
+        let asked = self.source_candidates();
         let pull = &mut self.tables.pull;
         let asked: Vec<PeerAddress> = asked
             .into_iter()
-            .skip(pull.tries)
-            .take(ASKED_AT_ONCE)
+            .skip(pull.asked_count)
+            .take(PEERS_PER_QUERY)
             .collect();
-        pull.tries += asked.len();
-        if asked.len() < ASKED_AT_ONCE {
-            pull.tries = 0;
-            pull.rounds += 1;
+        pull.asked_count += asked.len();
+        if asked.len() < PEERS_PER_QUERY {
+            pull.asked_count = 0;
+            pull.round_count += 1;
         }
         let version = self.table_version();
         let detail = format!("the table does not answer, {} peers asked", asked.len());
@@ -72,10 +73,11 @@
         }
     }
 
-    /// Peers that may have a newer configuration, the strongest first. The leader, whose link
-    /// carries heartbeats to all, is the last one of each second round.
-    fn table_givers(&self) -> Vec<PeerAddress> {
-        let own = self.table_version();
+    /// Returns the peers that may have a newer configuration, most CPU first. The leader, whose link
+    /// carries the heartbeats to all members, is included last, and only in every second round or if
+    /// there is no other peer.
+    fn source_candidates(&self) -> Vec<PeerAddress> {
+        let in_force = self.table_version();
         let leader = self.leader.as_ref().map(|leader| leader.address);
         let others: Vec<PeerAddress> = self
             .near_members()
@@ -86,28 +88,28 @@
             let Some(peer) = self.peers.get(address) else {
                 return false;
             };
-            // A member that is not near does not hear the near ones.
-            let newer = peer.news.table_version > own || !peer.is_live(self.now);
+            // A member that is not preferred may receive no heartbeats from preferred members.
+            let newer = peer.news.table_version > in_force || !peer.is_live(self.now);
             newer && !peer.news.stopping
         };
-        let mut givers: Vec<PeerAddress> = others.into_iter().filter(may_have).collect();
-        if givers.is_empty() || self.tables.pull.rounds % 2 == 1 {
-            givers.extend(leader.filter(may_have));
+        let mut candidates: Vec<PeerAddress> = others.into_iter().filter(may_have).collect();
+        if candidates.is_empty() || self.tables.pull.round_count % 2 == 1 {
+            candidates.extend(leader.filter(may_have));
         }
-        givers
+        candidates
     }
 
-    /// Tells whether a copy is on its way to another peer.
-    fn is_giving(&self, but_to: PeerAddress) -> bool {
+    /// Returns whether a copy is being sent to a peer other than `receiver`.
+    fn is_sending_copy(&self, receiver: PeerAddress) -> bool {
         let now = self.now;
-        let other = self.tables.gift.filter(|gift| gift.to != but_to);
+        let other = self.tables.gift.filter(|gift| gift.to != receiver);
         other.is_some_and(|gift| now < gift.until)
     }
 
-    /// A peer asks for a newer configuration than it has.
+    /// Handles a peer's query for a newer configuration than `version`.
     pub(super) fn take_table_wanted(&mut self, from: PeerAddress, version: u64) {
         let bytes = self.tables.raw.len() as u64;
-        if self.table_version() <= version || self.is_giving(from) || bytes == 0 {
+        if self.table_version() <= version || self.is_sending_copy(from) || bytes == 0 {
             self.counters.count("config", "pull_refused");
             return;
         }
@@ -115,22 +117,22 @@
         self.tell(from, PeerMessage::TableOffer { version, bytes });
     }
 
-    /// A peer has a newer configuration to give.
+    /// Handles a peer's offer of a newer configuration.
     pub(super) fn take_table_offer(&mut self, from: PeerAddress, version: u64, bytes: u64) {
         let now = self.now;
         let wanted = version > self.table_version() && self.tables.is_unanswered(now);
         let pull = &mut self.tables.pull;
-        if !wanted || pull.giver.is_some_and(|(_, until)| now < until) {
+        if !wanted || pull.source.is_some_and(|(_, until)| now < until) {
             return;
         }
-        pull.giver = Some((from, now + peer_time(bytes as usize)));
+        pull.source = Some((from, now + peer_time(bytes as usize)));
         self.tell(from, PeerMessage::TableTaken);
     }
 
-    /// A peer takes the configuration that it was offered.
+    /// Sends the configuration to a peer that has accepted the offer.
     pub(super) fn take_table_taken(&mut self, from: PeerAddress) {
-        if self.is_giving(from) {
-            // Another was quicker; it asks again when this one does not come.
+        if self.is_sending_copy(from) {
+            // Another peer accepted first. This one asks again once it is refused.
             self.counters.count("config", "pull_refused");
             self.tell(from, PeerMessage::TableRefused);
             return;
@@ -148,25 +150,25 @@
         self.tell(from, PeerMessage::Table { raw });
     }
 
-    /// A peer does not give its configuration after all, or is not reached.
+    /// Handles a peer that refuses to send its configuration after the offer, or that is unreachable.
     pub(super) fn lose_giver(&mut self, peer: PeerAddress) {
         let pull = &mut self.tables.pull;
-        if pull.giver.is_some_and(|(giver, _)| giver == peer) {
-            pull.giver = None;
+        if pull.source.is_some_and(|(source, _)| source == peer) {
+            pull.source = None;
             pull.next_at = self.now;
         }
     }
 
-    /// A configuration came from a peer.
+    /// Handles a configuration from a peer.
     pub(super) fn take_peer_table(&mut self, raw: Vec<u8>) {
         self.tables.pull = PeerPull {
-            next_at: self.now + PULL_PAUSE,
+            next_at: self.now + MIN_PULL_INTERVAL,
             ..PeerPull::default()
         };
         self.actions.push(CoreAction::DecodeTable(raw));
     }
 
-    /// A peer has a version in force, so a copy on its way to it has arrived.
+    /// Ends the outgoing copy to a peer that has its version in force, since it has arrived.
     pub(super) fn end_gift(&mut self, peer: PeerAddress, version: u64) {
         let arrived = |gift: &PeerGift| gift.to == peer && version >= gift.version;
         if self.tables.gift.as_ref().is_some_and(arrived) {
--- a/crates/bankvalve_queue/src/core/table_watch.rs
+++ b/crates/bankvalve_queue/src/core/table_watch.rs
@@ -1,9 +1,9 @@
-//! The operator's configuration: how an instance hears of a newer one and reads it.
+//! The operator's configuration: how an instance learns of a newer version and reads it.
 //!
-//! Each instance watches the table. Heartbeats tell which version a peer has in force: an instance
-//! that is behind asks the table with a question of its own, since its watch may have gone silent.
-//! Only if the table does not answer does it ask a peer, which `table_pull` does; nobody is sent a
-//! configuration unasked, since a large one fills a thin link for a second.
+//! Each instance watches the table. Heartbeats contain the version that a peer has in force. An
+//! instance that is behind sends a separate query to the table, since its watch may no longer deliver
+//! anything. Only if the table does not answer does it ask a peer (`table_pull`). A configuration is
+//! sent only on request, since a large one fills a slow link for a second.
 
 use std::time::Duration;
 
@@ -18,24 +18,24 @@
 use crate::queue_table::QueueTable;
 use crate::store::{OperatorNews, StoreOutcome, StoreRequest};
 
-/// Longest that a watch waits; a connection on which an answer was lost says nothing more,
-/// so this bounds how old the configuration can get.
+/// Maximum wait of a watch. A connection on which an answer was lost delivers nothing more, so this
+/// bounds how old the configuration can get.
 const WATCH_WAIT: Duration = Duration::from_millis(1_000);
-/// Wait that a question allows the table, in milliseconds: the least, so that it answers at once.
-const QUESTION_WAIT_MS: u64 = 1;
-/// Silence of the table after which a peer may be asked as well.
-const QUESTION_SILENT: Duration = Duration::from_millis(500);
-/// Time in which the watch tells of a version that a peer has told of, as a rule: the table answers
-/// all watches at once, and a second copy of a large row would take the link from the first.
+/// Wait that a query allows the table, in milliseconds: the minimum, so the table answers at once.
+const QUERY_WAIT_MS: u64 = 1;
+/// Time without an answer to a query after which a peer may be asked as well.
+const QUERY_UNANSWERED_AFTER: Duration = Duration::from_millis(500);
+/// Time within which the watch usually delivers a version that a peer has announced. The table answers
+/// all watches at once, and a second copy of a large row would compete with the first for the link.
 const ANNOUNCED_GRACE: Duration = Duration::from_millis(250);
-/// Pause between two changes of the configuration that are read: a large one takes a small
-/// instance some 0.1 s, and in a quick series only the last one counts.
-const OPERATOR_PAUSE: Duration = Duration::from_millis(300);
-/// Pause after a configuration that could not be read.
-const UNREADABLE_PAUSE: Duration = Duration::from_millis(1_000);
-/// Pause after a question that was answered: each call is paid for, and the table bears some
-/// 6,000 a second from all instances together.
-const QUESTION_PAUSE: Duration = Duration::from_millis(50);
+/// Minimum delay between reads of two changes of the configuration. A large one takes a small instance
+/// about 0.1 s, and in a quick series only the last one counts.
+const MIN_CHANGE_INTERVAL: Duration = Duration::from_millis(300);
+/// Delay after a configuration that could not be read.
+const UNREADABLE_RETRY_DELAY: Duration = Duration::from_millis(1_000);
+/// Delay after a query that was answered. Each call costs money, and the table can handle about 6,000
+/// a second from all instances together.
+const QUERY_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Where a configuration came from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -46,60 +46,61 @@
     Peer,
 }
 
-/// A question about the configuration that is on its way.
+/// A configuration query that is in flight.
 #[derive(Clone, Copy, Debug)]
-struct TableQuestion {
+struct ConfigQuery {
     sent_at: CoreTime,
-    /// Whether its answer can tell that the own version is the newest one told of.
-    whole: bool,
+    /// Whether it reads the complete configuration. Only then can its answer show that an announced
+    /// version does not exist.
+    complete: bool,
 }
 
-/// How an instance stands with the operator's configuration.
+/// State of watching and querying the operator's configuration.
 #[derive(Debug, Default)]
 pub(super) struct TableWatch {
     watch: WatchState,
     watch_sent: CoreTime,
-    question: Option<TableQuestion>,
-    question_failures: u32,
-    next_question: CoreTime,
+    query: Option<ConfigQuery>,
+    query_failures: u32,
+    next_query_at: CoreTime,
     /// Request whose answer has begun to arrive.
     arriving: Option<Ticket>,
-    /// Newest version that a peer told of, when it did, and since when this instance is behind.
+    /// Newest version that a peer has announced, when it did, and since when this instance is behind.
     announced: u64,
     announced_at: CoreTime,
     behind_since: CoreTime,
     /// The configuration as the operator wrote it.
     pub(super) raw: Vec<u8>,
-    /// When the configuration in force came.
-    since: CoreTime,
-    /// When the table last answered a question about the configuration.
+    /// When the configuration in force arrived.
+    in_force_since: CoreTime,
+    /// When the table last answered a watch or a query of the configuration.
     pub(super) confirmed: Option<CoreTime>,
     pub(super) pull: PeerPull,
     pub(super) gift: Option<PeerGift>,
     pub(super) lookups: Vec<DenialLookup>,
-    /// When the configuration in force was last known to be the newest, by the table or by a peer
-    /// with the same one.
+    /// When the configuration in force was last known to be the newest, from the table or from a peer
+    /// with the same version.
     pub(super) newest_at: Option<CoreTime>,
 }
 
 impl TableWatch {
-    /// Tells whether the table has left a question about the configuration unanswered, or turned
-    /// the last one away, while no answer is arriving.
+    /// Returns whether the last query failed or has been unanswered for too long, while no answer is
+    /// arriving.
     pub(super) fn is_unanswered(&self, now: CoreTime) -> bool {
-        let waits = |question: &TableQuestion| {
-            let age = now.saturating_sub(question.sent_at);
-            self.question_failures > 0 || age >= QUESTION_SILENT
+        let is_late = |query: &ConfigQuery| {
+            let age = now.saturating_sub(query.sent_at);
+            self.query_failures > 0 || age >= QUERY_UNANSWERED_AFTER
         };
-        let unanswered = match &self.question {
-            Some(question) => waits(question),
-            None => self.question_failures > 0,
+        let unanswered = match &self.query {
+            Some(query) => is_late(query),
+            None => self.query_failures > 0,
         };
         self.arriving.is_none() && unanswered
     }
 }
 
 impl EntryCore {
-    /// Watches the configuration, and asks for it where the watch does not do.
+    /// Watches the configuration, and queries it if the watch is not enough.
     pub(super) fn run_table(&mut self) {
         self.watch_operator();
         self.ask_operator();
@@ -110,8 +111,8 @@
     fn watch_operator(&mut self) {
         let now = self.now;
         let tables = &mut self.tables;
-        // The answer to a question tells the same.
-        if !tables.watch.is_due(now) || tables.question.is_some() {
+        // The answer to a query contains the same.
+        if !tables.watch.is_due(now) || tables.query.is_some() {
             return;
         }
         tables.watch.busy = true;
@@ -126,48 +127,48 @@
         self.ask_store(StorePurpose::Operator, request);
     }
 
-    /// Asks the table now whether there is a newer version, if a peer told of one or a caller asks
-    /// for a queue that is not known; one question at a time.
+    /// Queries the table for a newer version, if a peer has announced one or the configuration in force
+    /// denies a caller's request. Only one query is in flight at a time.
     fn ask_operator(&mut self) {
         let now = self.now;
         let behind = self.is_behind_announced();
         let tables = &mut self.tables;
         let watch_fresh = tables.watch.busy && now < tables.watch_sent + ANNOUNCED_GRACE;
-        let heard_due = now >= tables.behind_since + ANNOUNCED_GRACE
-            && now >= tables.since + OPERATOR_PAUSE
+        let announced_due = now >= tables.behind_since + ANNOUNCED_GRACE
+            && now >= tables.in_force_since + MIN_CHANGE_INTERVAL
             && !watch_fresh;
-        let wanted = (behind && heard_due) || !tables.lookups.is_empty();
-        let free = tables.question.is_none() && tables.arriving.is_none();
-        if !wanted || !free || now < tables.next_question {
+        let wanted = (behind && announced_due) || !tables.lookups.is_empty();
+        let idle = tables.query.is_none() && tables.arriving.is_none();
+        if !wanted || !idle || now < tables.next_query_at {
             return;
         }
-        let (request, whole) = match tables.watch.after {
+        let (request, complete) = match tables.watch.after {
             None => (StoreRequest::ReadOperator, true),
             Some(after) => {
-                let wait_ms = QUESTION_WAIT_MS;
+                let wait_ms = QUERY_WAIT_MS;
                 (StoreRequest::WatchOperator { after, wait_ms }, false)
             }
         };
-        tables.question = Some(TableQuestion {
+        tables.query = Some(ConfigQuery {
             sent_at: now,
-            whole,
+            complete,
         });
         self.counters.count("config", "question");
         self.ask_store(StorePurpose::AskOperator, request);
     }
 
-    /// Tells whether a peer told of a version that is not in force here.
+    /// Returns whether a peer has announced a newer version than the one in force here.
     pub(super) fn is_behind_announced(&self) -> bool {
         self.tables.announced > self.table_version()
     }
 
-    /// The configuration in force was the newest at a time.
+    /// Records that the configuration in force was the newest at a time.
     fn note_newest(&mut self, at: CoreTime) {
         let newest = &mut self.tables.newest_at;
         *newest = (*newest).max(Some(at));
     }
 
-    /// A peer has a version in force that it knew to be the newest so long ago.
+    /// Records that a peer with this version in force knew it to be the newest `age_ms` ago.
     pub(super) fn hear_of_newest(&mut self, version: u64, age_ms: Option<u64>) {
         let Some(age_ms) = age_ms.filter(|_| version == self.table_version()) else {
             return;
@@ -178,18 +179,18 @@
         }
     }
 
-    /// Whether it has been known lately enough that keys still hold, where the operator wants no
-    /// request taken up otherwise.
+    /// Returns whether the configuration was known to be the newest recently enough to rely on its keys.
+    /// Always true unless the operator has set a limit.
     pub(super) fn knows_keys(&self) -> bool {
         let limit = self.settings.key_age_limit;
         let fresh = |limit| self.tables.newest_at.is_some_and(|at| self.age(at) < limit);
         limit.is_none_or(fresh)
     }
 
-    /// A peer has a version in force, as it told.
+    /// Records the version that a peer has in force.
     pub(super) fn hear_of_table(&mut self, from: PeerAddress, version: u64) {
-        let own = self.table_version();
-        if version <= own || version <= self.tables.announced {
+        let in_force = self.table_version();
+        if version <= in_force || version <= self.tables.announced {
             return;
         }
         if !self.is_behind_announced() {
@@ -197,14 +198,14 @@
         }
         self.tables.announced = version;
         self.tables.announced_at = self.now;
-        let detail = format!("by {from}, {own} is in force");
+        let detail = format!("by {from}, {in_force} is in force");
         self.log("config", "announced", version.to_string(), detail);
     }
 
-    /// The answer to a request has begun to arrive.
+    /// Handles the start of an answer to a request, which is arriving.
     pub(super) fn store_begins(&mut self, ticket: Ticket) {
-        let question = self.store_tickets.get(&ticket);
-        let purpose = question.map(|question| &question.purpose);
+        let request = self.store_tickets.get(&ticket);
+        let purpose = request.map(|request| &request.purpose);
         if matches!(
             purpose,
             Some(StorePurpose::Operator | StorePurpose::AskOperator)
@@ -215,14 +216,14 @@
         }
     }
 
-    /// The answer to a request has arrived, or will not.
+    /// Records that an answer has arrived completely, or will not arrive.
     pub(super) fn store_arrived(&mut self, ticket: Ticket) {
         if self.tables.arriving == Some(ticket) {
             self.tables.arriving = None;
         }
     }
 
-    /// The watch on the configuration has ended.
+    /// Handles the result of the watch on the configuration.
     pub(super) fn end_operator(&mut self, outcome: StoreOutcome) {
         let now = self.now;
         self.tables.watch.busy = false;
@@ -230,13 +231,13 @@
             StoreOutcome::Operator { news, version } => {
                 let changed = news.table.is_some();
                 let sent_at = self.tables.watch_sent;
-                let read = self.take_news(news, version, sent_at);
+                let read = self.handle_operator_news(news, version, sent_at);
                 let watch = &mut self.tables.watch;
                 watch.failures = 0;
                 if !read {
-                    watch.next_at = now + UNREADABLE_PAUSE;
+                    watch.next_at = now + UNREADABLE_RETRY_DELAY;
                 } else if changed {
-                    watch.next_at = now + OPERATOR_PAUSE;
+                    watch.next_at = now + MIN_CHANGE_INTERVAL;
                 }
             }
             StoreOutcome::HistoryGone => self.tables.watch.after = None,
@@ -245,58 +246,64 @@
         self.run_watches();
     }
 
-    /// A question about the configuration has ended.
+    /// Handles the result of a configuration query.
     pub(super) fn end_ask_operator(&mut self, outcome: StoreOutcome) {
         let now = self.now;
-        let Some(question) = self.tables.question.take() else {
+        let Some(query) = self.tables.query.take() else {
             return;
         };
         match outcome {
             StoreOutcome::Operator { news, version } => {
-                let read = self.take_news(news, version, question.sent_at);
+                let read = self.handle_operator_news(news, version, query.sent_at);
                 let tables = &mut self.tables;
-                tables.question_failures = 0;
-                tables.next_question = now
+                tables.query_failures = 0;
+                tables.next_query_at = now
                     + if read {
-                        QUESTION_PAUSE
+                        QUERY_INTERVAL
                     } else {
-                        UNREADABLE_PAUSE
+                        UNREADABLE_RETRY_DELAY
                     };
                 if read {
-                    self.end_lookups(question.sent_at);
-                    self.doubt_announced(question);
+                    self.end_lookups(query.sent_at);
+                    self.handle_missing_version(query);
                 }
             }
-            // Read whole at once: a caller may wait.
+            // The complete configuration is read at once, since a caller may be waiting.
             StoreOutcome::HistoryGone => self.tables.watch.after = None,
             _ => {
-                let pause = RETRY_PAUSE * 2_u32.pow(self.tables.question_failures.min(3));
-                self.tables.question_failures += 1;
-                self.tables.next_question = now + pause;
+                let pause = RETRY_PAUSE * 2_u32.pow(self.tables.query_failures.min(3));
+                self.tables.query_failures += 1;
+                self.tables.next_query_at = now + pause;
             }
         }
         self.run_watches();
     }
 
-    /// The table was asked after a peer told of a version, and does not have it.
-    fn doubt_announced(&mut self, question: TableQuestion) {
-        if !self.is_behind_announced() || question.sent_at < self.tables.announced_at {
+    /// Handles a version that a peer has announced and that the table did not have in a later query.
+    fn handle_missing_version(&mut self, query: ConfigQuery) {
+        if !self.is_behind_announced() || query.sent_at < self.tables.announced_at {
             return;
         }
         let version = self.tables.announced.to_string();
-        if question.whole {
+        if query.complete {
             self.log("config", "not_there", version, String::new());
             self.tables.announced = 0;
-            self.tables.next_question = self.now + UNREADABLE_PAUSE;
+            self.tables.next_query_at = self.now + UNREADABLE_RETRY_DELAY;
         } else {
-            // What was known of the changes is wrong.
+            // The version up to which changes were known is wrong, so all is read again.
             self.log("config", "missed", version, String::new());
             self.tables.watch.after = None;
         }
     }
 
-    /// Takes what the table told to a question of a time; returns whether it could be read.
-    fn take_news(&mut self, news: OperatorNews, version: u64, asked_at: CoreTime) -> bool {
+    /// Handles the table's answer to a request that was sent at `asked_at`. Returns whether the
+    /// configuration in it could be read.
+    fn handle_operator_news(
+        &mut self,
+        news: OperatorNews,
+        version: u64,
+        asked_at: CoreTime,
+    ) -> bool {
         if news.table.is_none() && !news.raw.is_empty() {
             let detail = format!("{} bytes at version {version}", news.raw.len());
             self.log("config", "unreadable", String::new(), detail);
@@ -313,7 +320,7 @@
         true
     }
 
-    /// Puts a configuration in force, unless it is older than the one that is.
+    /// Puts a configuration in force, unless it is older than or the same as the one in force.
     pub(super) fn use_table(&mut self, table: QueueTable, raw: Vec<u8>, source: TableSource) {
         let version = table.version;
         let known = self.table_version();
@@ -322,7 +329,7 @@
             let detail = format!("from {source:?}, {known} is in force");
             self.log("config", "older", version.to_string(), detail);
         }
-        // The whole row is read again when the history is forgotten.
+        // The complete row is read again when the table has dropped its history.
         let same = self.table.is_some() && known == version;
         if same || (older && self.keeps(SiteGuard::NewerTable)) {
             return;
@@ -342,7 +349,7 @@
         self.name_services(services);
         self.table = Some(table);
         self.tables.raw = raw;
-        self.tables.since = self.now;
+        self.tables.in_force_since = self.now;
         if let Some(lead) = self.lead.as_deref_mut() {
             lead.stale = true;
         }
--- a/crates/bankvalve_queue/src/core/without_leader.rs
+++ b/crates/bankvalve_queue/src/core/without_leader.rs
@@ -1,4 +1,4 @@
-//! Sight: how long there has been no leader that works, as far as is known, and what for.
+//! Logging of the time without a working leader, and of what this instance waits for meanwhile.
 
 use std::time::Duration;
 
@@ -6,19 +6,19 @@
 use super::EntryCore;
 use crate::ids::CoreTime;
 
-/// Time between two log lines about a leader that is missing or reads the ledger: some fifteen of
-/// each tell a whole recovery.
-const TELL_EVERY: Duration = Duration::from_secs(1);
+/// Interval between two log lines about a leader that is missing or reads the ledger. About fifteen of
+/// each cover an entire recovery.
+const LOG_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Since when there has been no leader that works.
+/// The current period without a working leader, if there is one.
 #[derive(Debug, Default)]
 pub(super) struct LeaderGap {
     since: Option<CoreTime>,
-    next_line: CoreTime,
+    next_line_at: CoreTime,
 }
 
 impl EntryCore {
-    /// Logs, once a second at most, that no leader works and what is waited for.
+    /// Logs at most once a second that no leader works, and what this instance waits for.
     pub(super) fn watch_leader(&mut self) {
         let loaded = self.lead.as_deref().map(|lead| lead.loaded);
         let works = loaded.unwrap_or_else(|| self.leader_is_heard());
@@ -29,17 +29,17 @@
             }
             return;
         }
-        let (now, tell_at) = (self.now, self.now + TELL_EVERY);
+        let (now, log_at) = (self.now, self.now + LOG_INTERVAL);
         let gap = &mut self.leader_gap;
         if gap.since.is_none() {
-            // Shorter gaps are usual: a takeover, or a start.
-            gap.next_line = tell_at;
+            // Shorter gaps are normal during a takeover or a start.
+            gap.next_line_at = log_at;
         }
         let since = *gap.since.get_or_insert(now);
-        if now < gap.next_line {
+        if now < gap.next_line_at {
             return;
         }
-        gap.next_line = tell_at;
+        gap.next_line_at = log_at;
         let waited = self.age(since);
         self.counters.count("elections", "seconds_without_leader");
         match self.lead.as_deref() {
@@ -48,13 +48,13 @@
                 self.log("ledger", "loading", self.applied.to_string(), detail);
             }
             None => {
-                let detail = format!("for {waited:?}: {}", self.waits_for());
+                let detail = format!("for {waited:?}: {}", self.waiting_reason());
                 self.log("election", "without_leader", String::new(), detail);
             }
         }
     }
 
-    /// Milliseconds for which there has been no leader that works, as far as is known.
+    /// Returns the milliseconds for which this instance has known no working leader.
     pub(super) fn leaderless_ms(&self) -> u64 {
         let since = self.leader_gap.since;
         since.map_or(0, |since| self.age(since).as_millis() as u64)
@@ -63,7 +63,7 @@
     fn loading_detail(&self, lead: &LeadState) -> String {
         let page = self.ledger_page;
         format!(
-            "since {:?}, page of {} rows asked {:?} ago, time {:?}",
+            "for {:?}, page of {} rows requested {:?} ago, timeout {:?}",
             self.age(lead.began_at),
             page.rows,
             self.age(page.asked_at),
@@ -71,30 +71,33 @@
         )
     }
 
-    /// What stands between this instance and a leader.
-    fn waits_for(&self) -> String {
+    /// Describes what this instance waits for until there is a leader.
+    fn waiting_reason(&self) -> String {
         let table = match self.store_heard {
             Some(at) => format!("table heard {:?} ago", self.age(at)),
             None => "table never heard".to_owned(),
         };
         let step = if self.stopping {
-            "stops".to_owned()
+            "stopping".to_owned()
         } else if !self.members_known {
             "members not read".to_owned()
         } else if !self.registered {
             "own row not written".to_owned()
         } else if let Some(claim) = &self.claim {
-            let lost = self.claims_unanswered;
-            format!("claim of epoch {}, {lost} unanswered", claim.epoch)
+            let unanswered = self.claims_unanswered;
+            format!(
+                "claiming epoch {}, {unanswered} claims unanswered",
+                claim.epoch
+            )
         } else if let Some(since) = self.suspect_since {
-            let (near, far) = self.members_before_own();
+            let (preferred, others) = self.members_before_own();
             format!(
-                "turn to claim, {:?} so far, {near} near and {far} others first",
+                "waiting {:?} to claim, {preferred} preferred and {others} other members first",
                 self.age(since)
             )
         } else {
-            let silence = self.leader.as_ref().map(|leader| self.age(leader.heard_at));
-            format!("leader silent for {silence:?}, not suspected")
+            let gap = self.leader.as_ref().map(|leader| self.age(leader.heard_at));
+            format!("no contact with the leader for {gap:?}, not suspected")
         };
         format!("{step}, {table}")
     }
--- a/crates/bankvalve_queue/src/core/yielding.rs
+++ b/crates/bankvalve_queue/src/core/yielding.rs
@@ -1,5 +1,5 @@
-//! Letting a peer lead: at a planned stop, when the table answers it and not the leader, or when
-//! it is much stronger.
+//! Handing leadership over to a peer: at a planned stop, when the table answers the peer but not the
+//! leader, when the leader reads the ledger too slowly, or when the peer has much more CPU.
 
 use std::cmp::Reverse;
 use std::time::Duration;
@@ -11,176 +11,185 @@
 use crate::policy::PolicySwitch;
 use crate::store::StoreOutcome;
 
-/// Silence of the table after which a leader tells its peers, which then ask the table.
-/// A slow table answers the read-back of a write before that.
+/// Time without an answer from the table after which a leader reports this to its peers, which then
+/// query the table. A slow table answers the read that checks a write before that.
 const TROUBLE_AFTER: Duration = Duration::from_millis(450);
-/// The usual time of a small answer, times this, after which silence is trouble at the earliest.
-const TROUBLE_FACTOR: u32 = 2;
-/// Time between two such questions.
-const PROBE_EVERY: Duration = Duration::from_millis(250);
-/// Longest that a leader goes on for a peer that it has asked to lead: a slow table takes a second
-/// for the claim.
-const HAND_OVER_LIMIT: Duration = Duration::from_millis(1_600);
-/// Batches that are kept between two heartbeats, and some.
-const BATCHES_ON_THEIR_WAY: u64 = 60;
-/// Time in which a new leader should have read the ledger; on a thin link it may take longer.
-const ADOPT_LIMIT: Duration = Duration::from_millis(1_500);
-/// Time in which the peers that have the book tell whether the table answers them, before one
-/// without it is let lead: a few heartbeats.
-const BEHIND_GRACE: Duration = Duration::from_millis(700);
-/// Least time for which an instance leads before it lets a stronger one lead.
-const SETTLED: Duration = Duration::from_millis(1_200);
-/// A peer that the table answered this lately reaches it: a watch waits for a second.
-const REACHES_TABLE: Duration = Duration::from_millis(1_400);
-/// A peer must have this share of the own processor, in percent, to be let lead for its strength:
-/// a change of leader costs some tenths of a second.
-const MUCH_STRONGER_PERCENT: u64 = 150;
+/// Multiple of the usual latency of a small answer that must also have passed without an answer.
+const TROUBLE_LATENCY_FACTOR: u32 = 2;
+/// Minimum interval between two such queries by a peer.
+const PROBE_INTERVAL: Duration = Duration::from_millis(250);
+/// Maximum time for which a leader that has asked a peer to take over continues until the peer's
+/// claim is applied. With a slow table, a claim takes a second.
+const HANDOVER_TIMEOUT: Duration = Duration::from_millis(1_600);
+/// Number of batches by which an up-to-date book may seem to be behind: those committed between two
+/// heartbeats, and a margin.
+const MAX_BATCHES_IN_FLIGHT: u64 = 60;
+/// Time within which a new leader should have read the ledger. On a slow link it may take longer.
+const LEDGER_READ_LIMIT: Duration = Duration::from_millis(1_500);
+/// Time given to peers with an up-to-date book to report that the table answers them, before a peer
+/// without such a book may take over: a few heartbeats.
+const UP_TO_DATE_GRACE: Duration = Duration::from_millis(700);
+/// Minimum time for which an instance leads before it hands over to a peer with more CPU.
+const MIN_LEADERSHIP: Duration = Duration::from_millis(1_200);
+/// Maximum age of the table's last answer to a peer that counts as reaching it. A watch waits for a
+/// second.
+const MAX_TABLE_CONTACT_AGE: Duration = Duration::from_millis(1_400);
+/// CPU capacity that a peer needs to take over for that reason, in percent of this instance's. A
+/// change of leader costs a few tenths of a second.
+const MIN_SUCCESSOR_CPU_PERCENT: u64 = 150;
 
 impl EntryCore {
-    /// Asks the table because it does not answer the leader.
+    /// Queries the table because it does not answer the leader.
     pub(super) fn probe_store(&mut self) {
         if self.now < self.next_probe || self.lead.is_some() {
             return;
         }
-        self.next_probe = self.now + PROBE_EVERY;
+        self.next_probe = self.now + PROBE_INTERVAL;
         self.ask_leader_row(StorePurpose::Probe);
     }
 
     pub(super) fn end_probe(&mut self, outcome: &StoreOutcome) {
         if let StoreOutcome::Rows { rows, .. } = outcome {
             self.probe_answered = Some(self.now);
-            // The leader that asked for it should not wait for the usual heartbeat.
+            // The leader needs the result sooner than the next regular heartbeat.
             self.next_heartbeat = self.now;
             self.take_leader_rows(rows);
         }
     }
 
-    /// Lets a peer lead: at a planned stop, or if the table answers it and not us.
+    /// Reports trouble with the table, and hands leadership over to a peer if there is a reason to.
     pub(super) fn consider_yield(&mut self) {
         let now = self.now;
         let stopping = self.stopping;
         let Some(lead) = self.lead.as_deref_mut() else {
             return;
         };
-        // A table that answers anything is there, however slow it is with the rest.
-        let heard = self.store_heard.unwrap_or_default();
+        // A table that answers any request is available, however slow it is with others.
+        let last_answer = self.store_heard.unwrap_or_default();
         let unanswered = lead
             .asked_since
-            .map_or(Duration::ZERO, |at| now.saturating_sub(at.max(heard)));
-        let turned_away = lead.away_since.is_some();
+            .map_or(Duration::ZERO, |at| now.saturating_sub(at.max(last_answer)));
+        let refused = lead.away_since.is_some();
         let usual = self.store_patience.usual();
-        let silent = unanswered > TROUBLE_AFTER.max(usual * TROUBLE_FACTOR);
-        if !turned_away && !silent {
+        let unresponsive = unanswered > TROUBLE_AFTER.max(usual * TROUBLE_LATENCY_FACTOR);
+        if !refused && !unresponsive {
             lead.trouble_since = None;
-        } else if (turned_away || silent) && lead.trouble_since.is_none() {
+        } else if (refused || unresponsive) && lead.trouble_since.is_none() {
             lead.trouble_since = Some(now);
             self.next_heartbeat = now;
         }
-        let handing = lead
+        let handover_pending = lead
             .handed_at
-            .is_some_and(|at| now.saturating_sub(at) < HAND_OVER_LIMIT);
-        if handing {
+            .is_some_and(|at| now.saturating_sub(at) < HANDOVER_TIMEOUT);
+        if handover_pending {
             return;
         }
         let stop_due = stopping;
         let trouble = lead.trouble_since;
-        let slow_start = !lead.loaded && now.saturating_sub(lead.began_at) > ADOPT_LIMIT;
+        let slow_start = !lead.loaded && now.saturating_sub(lead.began_at) > LEDGER_READ_LIMIT;
         if slow_start && !stop_due {
-            self.yield_to_whole_book();
-            // Another may also be ahead in that the table answers it.
+            self.hand_over_to_fuller_book();
+            // Below, a peer may also qualify because the table answers it and not this leader.
             if self.lead.is_none() || trouble.is_none() {
                 return;
             }
         }
         if trouble.is_none() && !stop_due {
             if self.uses(PolicySwitch::StrongLeader) {
-                self.yield_to_stronger();
+                self.hand_over_to_more_cpu();
             }
             return;
         }
         if !stop_due && !self.uses(PolicySwitch::TableYield) {
             return;
         }
-        let own_book = self.applied;
-        let grace_over = trouble.is_some_and(|at| now.saturating_sub(at) > BEHIND_GRACE);
-        let reaches = |peer: &PeerView| {
+        let local_batches = self.applied;
+        let grace_expired = trouble.is_some_and(|at| now.saturating_sub(at) > UP_TO_DATE_GRACE);
+        let can_take_over = |peer: &PeerView| {
             let probed = peer.news.probe_age_ms.map(Duration::from_millis);
             let answered = trouble
                 .zip(probed)
                 .is_some_and(|(since, probed)| probed < now.saturating_sub(since));
-            let ready = stop_due || grace_over || is_up_to_date(peer, own_book);
+            let ready = stop_due || grace_expired || is_up_to_date(peer, local_batches);
             !peer.news.stopping && (stop_due || answered) && ready
         };
         let why = if stop_due {
             "planned stop"
         } else {
-            "table away"
+            "table unavailable"
         };
-        self.yield_to_first(why, stop_due, reaches);
+        self.hand_over_to_best(why, stop_due, can_take_over);
     }
 
-    /// Lets a peer lead that has more of the ledger, when reading it takes too long here.
-    fn yield_to_whole_book(&mut self) {
-        let own_book = self.applied;
-        let suits = |peer: &PeerView| {
-            let ahead = peer.news.applied > own_book + BATCHES_ON_THEIR_WAY;
+    /// Hands leadership over to a peer that has more of the ledger, if reading it takes too long here.
+    fn hand_over_to_fuller_book(&mut self) {
+        let local_batches = self.applied;
+        let qualifies = |peer: &PeerView| {
+            let ahead = peer.news.applied > local_batches + MAX_BATCHES_IN_FLIGHT;
             ahead && reaches_table(peer) && !peer.news.stopping
         };
-        self.yield_to_first("the ledger is read too slowly", false, suits);
+        self.hand_over_to_best("reading the ledger takes too long", false, qualifies);
     }
 
-    /// Lets a much stronger peer lead: on a site of unlike instances a weak one would keep all
-    /// waiting.
-    fn yield_to_stronger(&mut self) {
+    /// Hands leadership over to a peer with much more CPU. On a site with unequal instances, a leader
+    /// with little CPU would delay everything.
+    fn hand_over_to_more_cpu(&mut self) {
         let Some(lead) = self.lead.as_deref() else {
             return;
         };
-        let settled = lead.loaded && self.age(lead.began_at) > SETTLED;
+        let settled = lead.loaded && self.age(lead.began_at) > MIN_LEADERSHIP;
         if !settled || lead.flight.is_some() {
             return;
         }
         let epoch = lead.epoch;
-        let least = self.settings.strength * MUCH_STRONGER_PERCENT / 100;
-        let own_book = self.applied;
-        let suits = |peer: &PeerView| {
+        let min_cpu = self.settings.strength * MIN_SUCCESSOR_CPU_PERCENT / 100;
+        let local_batches = self.applied;
+        let qualifies = |peer: &PeerView| {
             let news = &peer.news;
             let follows = news.epoch == epoch && !news.stopping;
-            peer.strength >= least
+            peer.strength >= min_cpu
                 && reaches_table(peer)
                 && follows
-                && is_up_to_date(peer, own_book)
+                && is_up_to_date(peer, local_batches)
         };
-        self.yield_to_first("a stronger instance", true, suits);
+        self.hand_over_to_best("an instance with more CPU", true, qualifies);
     }
 
-    /// Lets the first peer lead that suits: one whose book is up to date, then the strongest.
+    /// Hands leadership over to the best live peer that `qualifies`. Peers with an up-to-date book come
+    /// first, then those with more CPU.
     ///
-    /// Gently, it goes on until the peer's claim stands.
-    fn yield_to_first(&mut self, why: &str, gently: bool, suits: impl Fn(&PeerView) -> bool) {
-        let own_book = self.applied;
-        let heir = self
+    /// With `until_claimed`, this leader continues until the peer's claim is applied.
+    fn hand_over_to_best(
+        &mut self,
+        why: &str,
+        until_claimed: bool,
+        qualifies: impl Fn(&PeerView) -> bool,
+    ) {
+        let local_batches = self.applied;
+        let successor = self
             .live_peers()
-            .filter(|(_, peer)| suits(peer))
+            .filter(|(_, peer)| qualifies(peer))
             .min_by_key(|(address, peer)| {
-                let behind = !is_up_to_date(peer, own_book);
+                let behind = !is_up_to_date(peer, local_batches);
                 (behind, Reverse(peer.strength), *address)
             });
-        let Some(heir) = heir.map(|(address, _)| address) else {
+        let Some(successor) = successor.map(|(address, _)| address) else {
             return;
         };
         let epoch = self.highest_epoch;
-        self.log("election", "yield", heir.to_string(), why.to_owned());
+        self.log("election", "yield", successor.to_string(), why.to_owned());
         self.counters.count("elections", "yielded");
-        if gently && self.begin_hand_over(heir) {
+        if until_claimed && self.begin_handover(successor) {
             return;
         }
         self.depose(why);
         let over = true;
-        self.tell(heir, PeerMessage::TakeOver { epoch, over });
+        self.tell(successor, PeerMessage::TakeOver { epoch, over });
     }
 
-    /// Asks a peer to lead and goes on until its claim stands; not twice.
-    fn begin_hand_over(&mut self, heir: PeerAddress) -> bool {
+    /// Asks a peer to take over and continues to lead until its claim is applied. Returns `false` if
+    /// this leader has done so before.
+    fn begin_handover(&mut self, successor: PeerAddress) -> bool {
         let now = self.now;
         let epoch = self.highest_epoch;
         let Some(lead) = self.lead.as_deref_mut() else {
@@ -191,10 +200,11 @@
         }
         lead.handed_at = Some(now);
         let over = false;
-        self.tell(heir, PeerMessage::TakeOver { epoch, over });
+        self.tell(successor, PeerMessage::TakeOver { epoch, over });
         true
     }
 
+    /// Handles a leader's request to take over; `over` is set if that leader has stepped down already.
     pub(super) fn take_over(&mut self, from: PeerAddress, epoch: u64, over: bool) {
         if epoch < self.highest_epoch || self.lead.is_some() || self.stopping {
             return;
@@ -212,13 +222,13 @@
     }
 }
 
-/// Tells whether the table has answered a peer lately.
+/// Returns whether the table has answered a peer recently.
 pub(super) fn reaches_table(peer: &PeerView) -> bool {
     let age = peer.news.store_age_ms.map(Duration::from_millis);
-    age.is_some_and(|age| age < REACHES_TABLE)
+    age.is_some_and(|age| age < MAX_TABLE_CONTACT_AGE)
 }
 
-/// Tells whether a peer's book lacks no more batches than may be on their way.
-fn is_up_to_date(peer: &PeerView, own_book: u64) -> bool {
-    peer.news.applied + BATCHES_ON_THEIR_WAY >= own_book
+/// Returns whether a peer's book lacks no more batches than may be in flight.
+fn is_up_to_date(peer: &PeerView, local_batches: u64) -> bool {
+    peer.news.applied + MAX_BATCHES_IN_FLIGHT >= local_batches
 }
