--- a/crates/bankvalve_queue/src/core/standby.rs
+++ b/crates/bankvalve_queue/src/core/standby.rs
@@ -84,8 +84,8 @@
     /// this is called. `other_due` says whether those with other members are due, and `reduced_due`
     /// whether those of the leader and another member on a large site are.
     pub(super) fn heartbeat_targets(&self, other_due: bool, reduced_due: bool) -> Vec<PeerAddress> {
-        let preferred = self.near_members();
-        let is_preferred = |address: &PeerAddress| preferred.contains(address);
+        let near = self.near_members();
+        let is_preferred = |address: &PeerAddress| near.contains(address);
         let local_preferred = is_preferred(&self.settings.address);
         let leads = self.lead.is_some();
         let leader = self.leader.as_ref().map(|leader| leader.address);
@@ -108,8 +108,8 @@
 
     /// Returns whether this member is among the first to take over, by rank.
     pub(super) fn is_first_heir(&self) -> bool {
-        let preferred = self.near_members();
-        let first = &preferred[..preferred.len().min(FIRST_SUCCESSORS)];
+        let near = self.near_members();
+        let first = &near[..near.len().min(FIRST_SUCCESSORS)];
         first.contains(&self.settings.address)
     }
 
@@ -126,14 +126,14 @@
     /// Returns whether this instance is not a preferred member, while a preferred member that the
     /// table answers is alive.
     pub(super) fn is_behind_near_members(&self) -> bool {
-        let preferred = self.near_members();
+        let near = self.near_members();
         let leader = self.leader.as_ref().map(|leader| leader.address);
         let may_claim = |address: &PeerAddress| {
             let peer = self.peers.get(address);
             let is_able = |peer: &PeerView| peer.is_live(self.now) && reaches_table(peer);
             Some(*address) != leader && peer.is_some_and(is_able)
         };
-        !preferred.contains(&self.settings.address) && preferred.iter().any(may_claim)
+        !near.contains(&self.settings.address) && near.iter().any(may_claim)
     }
 
     /// Counts the members that may claim leadership before this one: preferred members, and others.
@@ -143,8 +143,8 @@
     /// no heartbeats from those.
     pub(super) fn members_before_own(&self) -> (u32, u32) {
         let local = self.local_rank();
-        let preferred = self.near_members();
-        let local_preferred = preferred.contains(&self.settings.address);
+        let near = self.near_members();
+        let local_preferred = near.contains(&self.settings.address);
         let leader = self.leader.as_ref().map(|leader| leader.address);
         let mut before = (0, 0);
         for ((strength, address), peer) in self.ranked_peers() {
@@ -153,7 +153,7 @@
             }
             let starting = peer.heard_at.is_none() && self.age(peer.known_at) < STARTUP_GRACE;
             let live = peer.is_live(self.now);
-            if !preferred.contains(&address) {
+            if !near.contains(&address) {
                 before.1 += 1;
             } else if live || starting || !local_preferred {
                 before.0 += 1;
