--- a/crates/bankvalve_queue/src/core/carriers.rs
+++ b/crates/bankvalve_queue/src/core/call_proxies.rs
@@ -11,11 +11,11 @@
 
 use super::election::PeerView;
 use super::hubs::choice_weight;
-use super::lead::LeadState;
+use super::lead_state::LeadState;
 use super::EntryCore;
 use crate::core::CoreAction;
 use crate::ids::{CoreTime, FenceToken, Ticket, WorkerId};
-use crate::peer::{CarriedCall, CarriedOrder, PeerAddress, PeerMessage};
+use crate::peer::{PeerAddress, PeerMessage, ProxiedCall, ProxiedOrder};
 use crate::worker::{StartOrder, WorkerAnswer, WorkerCall};
 
 /// Number of workers per core of the leader from which its calls are proxied. Exchanges with that many
@@ -23,7 +23,7 @@
 const PROXIED_WORKERS_PER_CORE: u64 = 800;
 /// Time added to the limit of a proxied call, for the round trip between the two instances and for the
 /// interval of their batches.
-pub(super) const CARRY_SLACK: Duration = Duration::from_millis(150);
+pub(super) const PROXY_SLACK: Duration = Duration::from_millis(150);
 /// Interval between two selections of proxies.
 const SELECTION_INTERVAL: Duration = Duration::from_millis(100);
 /// Maximum time since the last heartbeat of a proxy: more than two heartbeat intervals.
@@ -36,19 +36,19 @@
 
 /// Proxies that a leader has selected.
 #[derive(Debug, Default)]
-pub(super) struct CarrierList {
+pub(super) struct ProxyList {
     peers: Vec<PeerAddress>,
     selected_at: Option<CoreTime>,
 }
 
-impl CarrierList {
+impl ProxyList {
     /// Returns whether calls are proxied.
     pub(super) fn are_used(&self) -> bool {
         !self.peers.is_empty()
     }
 
     /// Returns the proxy for a worker's calls. It stays the same while the proxies do.
-    pub(super) fn carrier_of(&self, worker: &WorkerId) -> Option<PeerAddress> {
+    pub(super) fn proxy_of(&self, worker: &WorkerId) -> Option<PeerAddress> {
         let weight = |peer: &PeerAddress| choice_weight(worker, peer);
         self.peers.iter().copied().max_by_key(weight)
     }
@@ -56,7 +56,7 @@
 
 /// Where a call that this instance proxies came from.
 #[derive(Debug)]
-pub(super) struct CarriedFor {
+pub(super) struct ProxyOrigin {
     leader: PeerAddress,
     ticket: Ticket,
     since: CoreTime,
@@ -64,33 +64,33 @@
 
 impl EntryCore {
     /// Selects the proxies when that is due, and times out calls.
-    pub(super) fn run_carriers(&mut self) {
+    pub(super) fn run_proxies(&mut self) {
         let now = self.now;
         let Some(lead) = self.lead.as_deref() else {
             return;
         };
         let due = |at: CoreTime| now >= at + SELECTION_INTERVAL;
-        if lead.carriers.selected_at.is_none_or(due) {
+        if lead.proxies.selected_at.is_none_or(due) {
             let peers = self.select_proxies(lead);
             if let Some(lead) = self.lead.as_deref_mut() {
-                lead.carriers.peers = peers;
-                lead.carriers.selected_at = Some(now);
+                lead.proxies.peers = peers;
+                lead.proxies.selected_at = Some(now);
             }
         }
         self.time_out_calls();
     }
 
     fn select_proxies(&self, lead: &LeadState) -> Vec<PeerAddress> {
-        let workers = lead.seats.len() as u64 * 1_000;
+        let workers = lead.worker_states.len() as u64 * 1_000;
         if workers < PROXIED_WORKERS_PER_CORE * self.settings.strength.max(1) || self.stopping {
             return Vec::new();
         }
         let is_usable = |peer: &PeerView| {
             let in_contact = peer
-                .heard_at
+                .last_contact
                 .is_some_and(|at| self.age(at) < PROXY_CONTACT_TIMEOUT);
-            let has_book = peer.news.applied + MAX_BATCHES_BEHIND >= self.applied;
-            in_contact && has_book && !peer.news.stopping
+            let has_book = peer.heartbeat.applied + MAX_BATCHES_BEHIND >= self.applied;
+            in_contact && has_book && !peer.heartbeat.stopping
         };
         let mut standbys = self.live_standbys();
         standbys.retain(|address| self.peers.get(address).is_some_and(is_usable));
@@ -104,34 +104,34 @@
     fn time_out_calls(&mut self) {
         let event_time = self.now.saturating_sub(self.lag);
         while let Some(lead) = self.lead.as_deref_mut() {
-            let first = lead.call_limits.first().copied();
+            let first = lead.call_deadlines.first().copied();
             let Some((_, ticket)) = first.filter(|(limit, _)| event_time >= *limit) else {
                 return;
             };
-            lead.call_limits.pop_first();
+            lead.call_deadlines.pop_first();
             self.counters.count("retries", "call_unanswered");
-            self.take_worker_answer(ticket, WorkerAnswer::NoReply);
+            self.handle_worker_answer(ticket, WorkerAnswer::NoReply);
         }
     }
 
     /// Stops using a peer as a proxy, and handles its open calls as unanswered.
-    pub(super) fn lose_carrier(&mut self, peer: PeerAddress) {
+    pub(super) fn remove_proxy(&mut self, peer: PeerAddress) {
         let Some(lead) = self.lead.as_deref_mut() else {
             return;
         };
-        lead.carriers.peers.retain(|carrier| *carrier != peer);
+        lead.proxies.peers.retain(|proxy| *proxy != peer);
         let open = lead
             .calls
             .iter()
-            .filter(|(_, open)| open.carrier == Some(peer));
+            .filter(|(_, open)| open.proxy == Some(peer));
         let tickets: Vec<Ticket> = open.map(|(ticket, _)| *ticket).collect();
         for ticket in tickets {
-            self.take_worker_answer(ticket, WorkerAnswer::NoReply);
+            self.handle_worker_answer(ticket, WorkerAnswer::NoReply);
         }
     }
 
     /// Sends a call through a proxy, if there is one, and returns the proxy's address.
-    pub(super) fn have_carried(
+    pub(super) fn send_via_proxy(
         &mut self,
         ticket: Ticket,
         worker: &WorkerId,
@@ -139,36 +139,36 @@
         time: Duration,
     ) -> Option<PeerAddress> {
         let lead = self.lead.as_deref()?;
-        let carrier = lead.carriers.carrier_of(worker)?;
-        let address = lead.seats.get(worker)?.entry.address.clone();
-        let order = CarriedOrder::of(call)?;
-        let call = CarriedCall {
+        let proxy = lead.proxies.proxy_of(worker)?;
+        let address = lead.worker_states.get(worker)?.entry.address.clone();
+        let order = ProxiedOrder::of(call)?;
+        let call = ProxiedCall {
             worker: worker.clone(),
             address,
             token: lead.epoch,
             order,
             time_ms: time.as_millis() as u64,
         };
-        self.tell(carrier, PeerMessage::Carry { ticket, call });
-        Some(carrier)
+        self.send_message(proxy, PeerMessage::Carry { ticket, call });
+        Some(proxy)
     }
 
     /// Sends a call to a worker for the leader.
-    pub(super) fn carry_call(&mut self, from: PeerAddress, ticket: Ticket, proxied: CarriedCall) {
+    pub(super) fn proxy_call(&mut self, from: PeerAddress, ticket: Ticket, proxied: ProxiedCall) {
         let Some(call) = self.complete_call(proxied.order) else {
             // The local book does not have the job yet. Nothing was sent, so the leader can try again.
             let answer = WorkerAnswer::NotSent;
-            self.tell(from, PeerMessage::Carried { ticket, answer });
+            self.send_message(from, PeerMessage::Carried { ticket, answer });
             return;
         };
         let own_ticket = self.take_ticket();
         let since = self.now;
-        let origin = CarriedFor {
+        let origin = ProxyOrigin {
             leader: from,
             ticket,
             since,
         };
-        self.carrying.insert(own_ticket, origin);
+        self.proxied_calls.insert(own_ticket, origin);
         self.counters.count("calls", "carried");
         self.push_worker_call(
             own_ticket,
@@ -182,9 +182,9 @@
 
     /// Returns the complete call. The job of a start is added from the local book; `None` if the book
     /// does not have it.
-    fn complete_call(&self, order: CarriedOrder) -> Option<WorkerCall> {
+    fn complete_call(&self, order: ProxiedOrder) -> Option<WorkerCall> {
         Some(match order {
-            CarriedOrder::Start {
+            ProxiedOrder::Start {
                 task,
                 run,
                 saved,
@@ -198,8 +198,8 @@
                 permit,
                 until_ms,
             })),
-            CarriedOrder::Stop { task, run } => WorkerCall::Stop { task, run },
-            CarriedOrder::Hold {
+            ProxiedOrder::Stop { task, run } => WorkerCall::Stop { task, run },
+            ProxiedOrder::Hold {
                 until_ms,
                 kept,
                 connection,
@@ -214,20 +214,20 @@
     }
 
     /// Forwards an answer if its call was proxied for the leader, and returns whether it was.
-    pub(super) fn pass_answer_on(&mut self, ticket: Ticket, answer: &WorkerAnswer) -> bool {
-        let Some(origin) = self.carrying.remove(&ticket) else {
+    pub(super) fn forward_answer(&mut self, ticket: Ticket, answer: &WorkerAnswer) -> bool {
+        let Some(origin) = self.proxied_calls.remove(&ticket) else {
             return false;
         };
         let ticket = origin.ticket;
         let answer = answer.clone();
-        self.tell(origin.leader, PeerMessage::Carried { ticket, answer });
+        self.send_message(origin.leader, PeerMessage::Carried { ticket, answer });
         true
     }
 
     /// Forgets proxied calls that have had no answer for too long.
-    pub(super) fn forget_carried(&mut self) {
+    pub(super) fn expire_proxied_calls(&mut self) {
         let now = self.now;
-        while let Some(first) = self.carrying.first_entry() {
+        while let Some(first) = self.proxied_calls.first_entry() {
             if now.saturating_sub(first.get().since) < FORGET_CALL_AFTER {
                 return;
             }
--- a/crates/bankvalve_queue/src/core/election.rs
+++ b/crates/bankvalve_queue/src/core/election.rs
@@ -5,13 +5,13 @@
 use serde::{Deserialize, Serialize};
 
 use super::commit::batch_row;
-use super::lead::LeadState;
+use super::lead_state::LeadState;
 use super::round_trip::PeerEcho;
 use super::store_link::{StorePurpose, CELL_TABLE, LEAD_PART, LEDGER_TABLE};
 use super::EntryCore;
 use crate::guard::SiteGuard;
 use crate::ids::CoreTime;
-use crate::peer::{HeartbeatNews, PeerAddress};
+use crate::peer::{HeartbeatBody, PeerAddress};
 use crate::store::{RowCondition, RowKey, RowWrite, StoreOutcome, StoreRequest, StoredRow};
 
 /// Time without contact after which a leader is suspected: four heartbeats and the delay of a slow
@@ -46,7 +46,7 @@
     pub(super) epoch: u64,
     /// Version of its row; 0 if it is known only from peers.
     pub(super) row_version: u64,
-    pub(super) heard_at: CoreTime,
+    pub(super) last_contact: CoreTime,
     /// Whether its process has gone: its port refused a connection, or another process answers there.
     pub(super) gone: bool,
     /// Whether a later process has answered at its address since.
@@ -59,13 +59,13 @@
 
 impl LeaderView {
     /// Creates the view of a leader of which nothing else is known yet.
-    fn new(address: PeerAddress, life: u64, epoch: u64, heard_at: CoreTime) -> Self {
+    fn new(address: PeerAddress, life: u64, epoch: u64, last_contact: CoreTime) -> Self {
         Self {
             address,
             life,
             epoch,
             row_version: 0,
-            heard_at,
+            last_contact,
             gone: false,
             ended: false,
             loading: false,
@@ -77,11 +77,11 @@
 /// What this instance knows about a peer.
 #[derive(Clone, Debug, Default)]
 pub(super) struct PeerView {
-    pub(super) heard_at: Option<CoreTime>,
+    pub(super) last_contact: Option<CoreTime>,
     pub(super) known_at: CoreTime,
     /// CPU capacity, in thousandths of a core.
     pub(super) strength: u64,
-    pub(super) news: HeartbeatNews,
+    pub(super) heartbeat: HeartbeatBody,
     pub(super) echo: PeerEcho,
     /// Whether its heartbeats come at the reduced rate between the leader and the other members of a
     /// large site.
@@ -120,17 +120,17 @@
     /// Returns whether there has been no leader for longer than a takeover takes.
     pub(super) fn is_leaderless(&self) -> bool {
         let gap = match &self.leader {
-            Some(leader) => self.age(leader.heard_at),
+            Some(leader) => self.age(leader.last_contact),
             None => self.uptime(),
         };
         self.lead.is_none() && gap > LEADERLESS_AFTER
     }
 
-    pub(super) fn leader_is_heard(&self) -> bool {
+    pub(super) fn has_leader_contact(&self) -> bool {
         let limit = SUSPECT_AFTER * 2;
         self.leader
             .as_ref()
-            .is_some_and(|leader| self.age(leader.heard_at) < limit)
+            .is_some_and(|leader| self.age(leader.last_contact) < limit)
     }
 
     pub(super) fn read_leader_row(&mut self) {
@@ -147,10 +147,10 @@
             from,
             limit: None,
         };
-        self.ask_store(purpose, request);
+        self.send_store_request(purpose, request);
     }
 
-    pub(super) fn take_leader_row(&mut self, value: &[u8], version: u64) {
+    pub(super) fn handle_leader_row(&mut self, value: &[u8], version: u64) {
         let Ok(row) = rmp_serde::from_slice::<LeaderRow>(value) else {
             self.log("election", "row_unreadable", String::new(), String::new());
             return;
@@ -164,7 +164,7 @@
         self.highest_epoch = self.highest_epoch.max(row.epoch);
         if let Some(lead) = &self.lead {
             if row.epoch > lead.epoch {
-                self.depose("the leader's row has a later epoch");
+                self.step_down("the leader's row has a later epoch");
             } else {
                 return;
             }
@@ -192,11 +192,11 @@
         } else {
             ROW_HEARTBEAT_GRACE
         };
-        let heard_at = self.now.saturating_sub(SUSPECT_AFTER - grace);
+        let last_contact = self.now.saturating_sub(SUSPECT_AFTER - grace);
         self.follow(LeaderView {
             row_version: version,
             gone,
-            ..LeaderView::new(row.address, row.life, row.epoch, heard_at)
+            ..LeaderView::new(row.address, row.life, row.epoch, last_contact)
         });
     }
 
@@ -223,11 +223,11 @@
                 });
         }
         self.leader = Some(leader);
-        self.resend_asks();
+        self.resend_requests();
     }
 
     /// Ends this instance's leadership without writing anything.
-    pub(super) fn depose(&mut self, why: &str) {
+    pub(super) fn step_down(&mut self, why: &str) {
         let Some(lead) = self.lead.take() else {
             return;
         };
@@ -242,7 +242,7 @@
         // ledger was read, no such event was added.
         if lead.loaded {
             self.book = Default::default();
-            self.stopped_holds.clear();
+            self.stopped_leases.clear();
             self.applied = 0;
         }
         self.catch_up_at = Some(self.now + Duration::from_millis(300));
@@ -254,12 +254,12 @@
         {
             self.leader = None;
         }
-        self.resend_asks();
+        self.resend_requests();
     }
 
     /// Returns whether a heartbeat comes from another process at the leader's address, which shows
     /// that the process that led has ended.
-    pub(super) fn is_new_process_of_leader(&self, from: PeerAddress, news: &HeartbeatNews) -> bool {
+    pub(super) fn is_new_process_of_leader(&self, from: PeerAddress, news: &HeartbeatBody) -> bool {
         self.lead.is_none()
             && self
                 .leader
@@ -267,15 +267,15 @@
                 .is_some_and(|leader| leader.address == from && leader.life != news.life)
     }
 
-    pub(super) fn lose_leader(&mut self) {
+    pub(super) fn mark_leader_gone(&mut self) {
         let suspect_at = self.now.saturating_sub(SUSPECT_AFTER);
         if let Some(leader) = self.leader.as_mut() {
-            leader.heard_at = leader.heard_at.min(suspect_at);
+            leader.last_contact = leader.last_contact.min(suspect_at);
             leader.gone = true;
         }
     }
 
-    pub(super) fn hear_leader(&mut self, from: PeerAddress, news: &HeartbeatNews) {
+    pub(super) fn note_leader_heartbeat(&mut self, from: PeerAddress, news: &HeartbeatBody) {
         let known = self.leader.as_ref().map_or(0, |leader| leader.epoch);
         if news.epoch < self.highest_epoch {
             return;
@@ -291,7 +291,7 @@
         let now = self.now;
         if let Some(leader) = self.leader.as_mut() {
             if leader.address == from {
-                leader.heard_at = now;
+                leader.last_contact = now;
                 leader.life = news.life;
                 leader.gone = false;
                 leader.ended = false;
@@ -304,7 +304,7 @@
 
     pub(super) fn run_election(&mut self) {
         if self.lead.is_some() {
-            self.consider_yield();
+            self.consider_handover();
             return;
         }
         if !self.members_known || !self.registered || self.stopping {
@@ -323,23 +323,23 @@
     }
 
     fn should_claim(&mut self) -> bool {
-        if let Some(epoch) = self.asked_to_lead {
+        if let Some(epoch) = self.handover_epoch {
             if epoch >= self.highest_epoch {
                 return true;
             }
-            self.asked_to_lead = None;
+            self.handover_epoch = None;
         }
         let gap = match &self.leader {
-            Some(leader) => self.age(leader.heard_at),
+            Some(leader) => self.age(leader.last_contact),
             None => SUSPECT_AFTER,
         };
         let epoch = self.highest_epoch;
         let gone = self.leader.as_ref().is_some_and(|leader| leader.gone);
         let peers_have_contact = !gone
             && self.live_peers().any(|(_, peer)| {
-                peer.news.epoch >= epoch
-                    && peer.news.leader.is_some()
-                    && u128::from(peer.news.leader_age_ms) < RECENT_LEADER_CONTACT.as_millis()
+                peer.heartbeat.epoch >= epoch
+                    && peer.heartbeat.leader.is_some()
+                    && u128::from(peer.heartbeat.leader_age_ms) < RECENT_LEADER_CONTACT.as_millis()
             });
         let isolated = !gone && self.live_peers().next().is_none() && !self.peers.is_empty();
         let limit = if isolated {
@@ -352,8 +352,8 @@
             return false;
         }
         let since = *self.suspect_since.get_or_insert(self.now);
-        let (preferred, others) = self.members_before_own();
-        let other_delay = if self.is_behind_near_members() {
+        let (preferred, others) = self.higher_ranked_members();
+        let other_delay = if self.defers_to_preferred() {
             OTHER_CLAIM_DELAY
         } else {
             Duration::ZERO
@@ -381,7 +381,7 @@
             key: key.clone(),
             version,
         };
-        let guarded = self.keeps(SiteGuard::CompleteBook);
+        let guarded = self.enforces(SiteGuard::CompleteBook);
         let next_batch = next_batch.filter(|_| guarded);
         let request = StoreRequest::Transact {
             conditions: std::iter::once(leader_row).chain(next_batch).collect(),
@@ -394,7 +394,10 @@
             _ => self.now,
         };
         self.claim_sent = (epoch, sent_at);
-        let gap = self.leader.as_ref().map(|leader| self.age(leader.heard_at));
+        let gap = self
+            .leader
+            .as_ref()
+            .map(|leader| self.age(leader.last_contact));
         let detail = format!("row version {version}, no contact with the leader for {gap:?}");
         self.log("election", "claim", format!("epoch {epoch}"), detail);
         self.counters.count("elections", "claimed");
@@ -405,7 +408,7 @@
             next_at: self.now + CLAIM_RETRY_DELAY,
             ledger_end,
         });
-        self.ask_store(StorePurpose::Claim, request);
+        self.send_store_request(StorePurpose::Claim, request);
     }
 
     /// Returns the number of batches in the local book, if a claim may require that the ledger has no
@@ -419,7 +422,7 @@
         self.claimed_epoch = epoch;
         let followed = self.applied > 0 || self.highest_epoch == 0;
         // A leader that continues until the claim is applied still appends to the ledger.
-        let racing = self.asked_to_lead.is_some() && !self.asked_over;
+        let racing = self.handover_epoch.is_some() && !self.handover_leader_stopped;
         (first && followed && !racing && !self.catching_up).then_some(self.applied)
     }
 
@@ -452,7 +455,7 @@
     /// Handles the leader's row after a rejected claim. The row may also show that an earlier copy of
     /// the claim was applied.
     fn handle_rejected_claim(&mut self, rows: &[StoredRow]) {
-        self.take_leader_rows(rows);
+        self.handle_leader_rows(rows);
     }
 
     /// Repeats a claim at once if it failed because the ledger has more batches than the local book.
@@ -481,15 +484,15 @@
     }
 
     /// Handles the leader's row as it was read, which may show a claim whose answer was lost.
-    pub(super) fn take_leader_rows(&mut self, rows: &[StoredRow]) {
+    pub(super) fn handle_leader_rows(&mut self, rows: &[StoredRow]) {
         for row in rows.iter().filter(|row| row.key == leader_key()) {
-            self.take_leader_row(&row.value, row.version);
+            self.handle_leader_row(&row.value, row.version);
         }
     }
 
     fn begin_leadership(&mut self, epoch: u64, row_version: u64) {
         let predecessor = self.leader.take();
-        let asked = self.asked_to_lead.take().is_some() && self.asked_over;
+        let asked = self.handover_epoch.take().is_some() && self.handover_leader_stopped;
         let ledger_end = self.claim.as_ref().and_then(|claim| claim.ledger_end);
         let complete = ledger_end.is_some_and(|applied| applied == self.applied);
         let claimed_at = self.claim.as_ref().map_or(self.now, |claim| claim.sent_at);
@@ -507,13 +510,13 @@
         let detail =
             format!(
             "row version {row_version}, predecessor {before:?}, its leases expire in {:?} at most, {}",
-            self.former_leaders.holds_over_at().saturating_sub(self.now),
+            self.former_leaders.leases_expire_at().saturating_sub(self.now),
             if self.former_leaders.are_known() { "known" } else { "assumed" }
         );
         self.log("election", "lead", format!("epoch {epoch}"), detail);
         let mut lead = LeadState::new(epoch, row_version, self.now);
         lead.confirmed_at = claimed_at;
-        lead.guess_error = self.measures.1.clone();
+        lead.estimate_error = self.measurements.1.clone();
         // The first heartbeat reports this.
         lead.loaded = complete;
         self.lead = Some(Box::new(lead));
--- a/crates/bankvalve_queue/src/core/yielding.rs
+++ b/crates/bankvalve_queue/src/core/handover.rs
@@ -53,24 +53,24 @@
             self.probe_answered = Some(self.now);
             // The leader needs the result sooner than the next regular heartbeat.
             self.next_heartbeat = self.now;
-            self.take_leader_rows(rows);
+            self.handle_leader_rows(rows);
         }
     }
 
     /// Reports trouble with the table, and hands leadership over to a peer if there is a reason to.
-    pub(super) fn consider_yield(&mut self) {
+    pub(super) fn consider_handover(&mut self) {
         let now = self.now;
         let stopping = self.stopping;
         let Some(lead) = self.lead.as_deref_mut() else {
             return;
         };
         // A table that answers any request is available, however slow it is with others.
-        let last_answer = self.store_heard.unwrap_or_default();
+        let last_answer = self.store_last_contact.unwrap_or_default();
         let unanswered = lead
-            .asked_since
+            .unanswered_since
             .map_or(Duration::ZERO, |at| now.saturating_sub(at.max(last_answer)));
-        let refused = lead.away_since.is_some();
-        let usual = self.store_patience.usual();
+        let refused = lead.unavailable_since.is_some();
+        let usual = self.store_timeouts.usual();
         let unresponsive = unanswered > TROUBLE_AFTER.max(usual * TROUBLE_LATENCY_FACTOR);
         if !refused && !unresponsive {
             lead.trouble_since = None;
@@ -79,7 +79,7 @@
             self.next_heartbeat = now;
         }
         let handover_pending = lead
-            .handed_at
+            .handover_sent_at
             .is_some_and(|at| now.saturating_sub(at) < HANDOVER_TIMEOUT);
         if handover_pending {
             return;
@@ -106,12 +106,12 @@
         let local_batches = self.applied;
         let grace_expired = trouble.is_some_and(|at| now.saturating_sub(at) > UP_TO_DATE_GRACE);
         let can_take_over = |peer: &PeerView| {
-            let probed = peer.news.probe_age_ms.map(Duration::from_millis);
+            let probed = peer.heartbeat.probe_age_ms.map(Duration::from_millis);
             let answered = trouble
                 .zip(probed)
                 .is_some_and(|(since, probed)| probed < now.saturating_sub(since));
             let ready = stop_due || grace_expired || is_up_to_date(peer, local_batches);
-            !peer.news.stopping && (stop_due || answered) && ready
+            !peer.heartbeat.stopping && (stop_due || answered) && ready
         };
         let why = if stop_due {
             "planned stop"
@@ -125,8 +125,8 @@
     fn hand_over_to_fuller_book(&mut self) {
         let local_batches = self.applied;
         let qualifies = |peer: &PeerView| {
-            let ahead = peer.news.applied > local_batches + MAX_BATCHES_IN_FLIGHT;
-            ahead && reaches_table(peer) && !peer.news.stopping
+            let ahead = peer.heartbeat.applied > local_batches + MAX_BATCHES_IN_FLIGHT;
+            ahead && reaches_table(peer) && !peer.heartbeat.stopping
         };
         self.hand_over_to_best("reading the ledger takes too long", false, qualifies);
     }
@@ -145,7 +145,7 @@
         let min_cpu = self.settings.strength * MIN_SUCCESSOR_CPU_PERCENT / 100;
         let local_batches = self.applied;
         let qualifies = |peer: &PeerView| {
-            let news = &peer.news;
+            let news = &peer.heartbeat;
             let follows = news.epoch == epoch && !news.stopping;
             peer.strength >= min_cpu
                 && reaches_table(peer)
@@ -182,9 +182,9 @@
         if until_claimed && self.begin_handover(successor) {
             return;
         }
-        self.depose(why);
+        self.step_down(why);
         let over = true;
-        self.tell(successor, PeerMessage::TakeOver { epoch, over });
+        self.send_message(successor, PeerMessage::TakeOver { epoch, over });
     }
 
     /// Asks a peer to take over and continues to lead until its claim is applied. Returns `false` if
@@ -195,17 +195,17 @@
         let Some(lead) = self.lead.as_deref_mut() else {
             return false;
         };
-        if lead.handed_at.is_some() {
+        if lead.handover_sent_at.is_some() {
             return false;
         }
-        lead.handed_at = Some(now);
+        lead.handover_sent_at = Some(now);
         let over = false;
-        self.tell(successor, PeerMessage::TakeOver { epoch, over });
+        self.send_message(successor, PeerMessage::TakeOver { epoch, over });
         true
     }
 
     /// Handles a leader's request to take over; `over` is set if that leader has stepped down already.
-    pub(super) fn take_over(&mut self, from: PeerAddress, epoch: u64, over: bool) {
+    pub(super) fn handle_take_over(&mut self, from: PeerAddress, epoch: u64, over: bool) {
         if epoch < self.highest_epoch || self.lead.is_some() || self.stopping {
             return;
         }
@@ -215,8 +215,8 @@
             from.to_string(),
             format!("epoch {epoch}"),
         );
-        self.asked_to_lead = Some(epoch);
-        self.asked_over = over;
+        self.handover_epoch = Some(epoch);
+        self.handover_leader_stopped = over;
         self.claim = None;
         self.run_election();
     }
@@ -224,11 +224,11 @@
 
 /// Returns whether the table has answered a peer recently.
 pub(super) fn reaches_table(peer: &PeerView) -> bool {
-    let age = peer.news.store_age_ms.map(Duration::from_millis);
+    let age = peer.heartbeat.store_age_ms.map(Duration::from_millis);
     age.is_some_and(|age| age < MAX_TABLE_CONTACT_AGE)
 }
 
 /// Returns whether a peer's book lacks no more batches than may be in flight.
 fn is_up_to_date(peer: &PeerView, local_batches: u64) -> bool {
-    peer.news.applied + MAX_BATCHES_IN_FLIGHT >= local_batches
+    peer.heartbeat.applied + MAX_BATCHES_IN_FLIGHT >= local_batches
 }
--- a/crates/bankvalve_queue/src/core/hubs.rs
+++ b/crates/bankvalve_queue/src/core/hubs.rs
@@ -41,18 +41,18 @@
 
     /// Returns whether this instance gets heartbeats from the leader at the reduced rate and learns
     /// more about it from hubs: it is not a preferred member, and the site is large.
-    pub(super) fn is_far_of_many(&self) -> bool {
-        self.has_many_members() && !self.near.contains(&self.settings.address)
+    pub(super) fn is_behind_hubs(&self) -> bool {
+        self.has_many_members() && !self.preferred.contains(&self.settings.address)
     }
 
     /// Sends a message to a member, through a hub if there is one between this instance and the member.
-    pub(super) fn tell_through_hub(&mut self, to: PeerAddress, message: PeerMessage) {
+    pub(super) fn send_via_hub(&mut self, to: PeerAddress, message: PeerMessage) {
         match self.hub_between(to) {
-            None => self.tell(to, message),
+            None => self.send_message(to, message),
             Some(hub) => {
                 let from = self.settings.address;
                 let message = Box::new(message);
-                self.tell(hub, PeerMessage::Relay { from, to, message });
+                self.send_message(hub, PeerMessage::Relay { from, to, message });
             }
         }
     }
@@ -63,51 +63,54 @@
             return None;
         }
         let own = self.settings.address;
-        let near = &self.near;
+        let preferred = &self.preferred;
         let leads = self.lead.is_some();
         let member = if leads { to } else { own };
-        if near.contains(&member) {
+        if preferred.contains(&member) {
             return None;
         }
         let usable = |hub: &PeerAddress| {
             let peer = self.peers.get(hub);
             let live = peer.is_some_and(|peer| {
                 let in_contact = peer
-                    .heard_at
+                    .last_contact
                     .is_some_and(|at| self.age(at) < HUB_CONTACT_TIMEOUT);
-                in_contact && !peer.news.stopping
+                in_contact && !peer.heartbeat.stopping
             });
             *hub != to && *hub != own && live
         };
         let weight = |hub: &PeerAddress| choice_weight(*hub, member);
-        near.iter().copied().filter(usable).max_by_key(weight)
+        preferred.iter().copied().filter(usable).max_by_key(weight)
     }
 
     /// Returns whether this instance is one of the hubs that report about the leader to another member.
     pub(super) fn is_hub_of(&self, member: PeerAddress) -> bool {
         let own = self.settings.address;
-        if !self.has_many_members() || !self.near.contains(&own) || self.near.contains(&member) {
+        if !self.has_many_members()
+            || !self.preferred.contains(&own)
+            || self.preferred.contains(&member)
+        {
             return false;
         }
         let leader = self.leader.as_ref().map(|leader| leader.address);
         let own_weight = choice_weight(own, member);
-        let others = self.near.iter().filter(|hub| Some(**hub) != leader);
+        let others = self.preferred.iter().filter(|hub| Some(**hub) != leader);
         let before = others.filter(|hub| choice_weight(**hub, member) > own_weight);
         before.count() < HUBS_PER_MEMBER
     }
 
     /// Handles a relayed message that is for this instance, or forwards it.
-    pub(super) fn take_relayed(
+    pub(super) fn handle_relayed(
         &mut self,
         from: PeerAddress,
         to: PeerAddress,
         message: Box<PeerMessage>,
     ) {
         if to == self.settings.address {
-            self.take_message(from, *message);
+            self.handle_message(from, *message);
         } else if !self.answer_from_book(from, &message) {
             self.counters.count("calls", "relayed");
-            self.tell(to, PeerMessage::Relay { from, to, message });
+            self.send_message(to, PeerMessage::Relay { from, to, message });
         }
     }
 
@@ -127,12 +130,12 @@
         let CallerRequest::Status { job } = request else {
             return false;
         };
-        if let Some(answer) = self.kept_end(*job, caller) {
+        if let Some(answer) = self.committed_outcome(*job, caller) {
             let (ticket, answer) = (*ticket, Some(answer));
-            self.tell(from, PeerMessage::Reply { ticket, answer });
+            self.send_message(from, PeerMessage::Reply { ticket, answer });
             return true;
         }
         let origin = Origin::Peer(from, *ticket);
-        self.read_own_book(origin, *job, caller).is_some()
+        self.read_local_book(origin, *job, caller).is_some()
     }
 }
--- a/crates/bankvalve_queue/src/core/without_leader.rs
+++ b/crates/bankvalve_queue/src/core/leader_absence.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use super::lead::LeadState;
+use super::lead_state::LeadState;
 use super::EntryCore;
 use crate::ids::CoreTime;
 
@@ -21,7 +21,7 @@
     /// Logs at most once a second that no leader works, and what this instance waits for.
     pub(super) fn watch_leader(&mut self) {
         let loaded = self.lead.as_deref().map(|lead| lead.loaded);
-        let works = loaded.unwrap_or_else(|| self.leader_is_heard());
+        let works = loaded.unwrap_or_else(|| self.has_leader_contact());
         if works {
             if let Some(since) = self.leader_gap.since.take() {
                 let detail = format!("after {:?}", self.age(since));
@@ -73,7 +73,7 @@
 
     /// Describes what this instance waits for until there is a leader.
     fn waiting_reason(&self) -> String {
-        let table = match self.store_heard {
+        let table = match self.store_last_contact {
             Some(at) => format!("table heard {:?} ago", self.age(at)),
             None => "table never heard".to_owned(),
         };
@@ -90,13 +90,16 @@
                 claim.epoch
             )
         } else if let Some(since) = self.suspect_since {
-            let (preferred, others) = self.members_before_own();
+            let (preferred, others) = self.higher_ranked_members();
             format!(
                 "waiting {:?} to claim, {preferred} preferred and {others} other members first",
                 self.age(since)
             )
         } else {
-            let gap = self.leader.as_ref().map(|leader| self.age(leader.heard_at));
+            let gap = self
+                .leader
+                .as_ref()
+                .map(|leader| self.age(leader.last_contact));
             format!("no contact with the leader for {gap:?}, not suspected")
         };
         format!("{step}, {table}")
--- a/crates/bankvalve_queue/src/core/load_limit.rs
+++ b/crates/bankvalve_queue/src/core/load_limit.rs
@@ -66,7 +66,7 @@
     }
 
     /// Returns whether jobs were refused recently, so that the leader should save link capacity.
-    pub(super) fn was_limited_lately(&self, now: CoreTime) -> bool {
+    pub(super) fn was_limited_recently(&self, now: CoreTime) -> bool {
         let is_recent = |at: CoreTime| now.saturating_sub(at) < LIMITED_RECENTLY;
         self.limited_at.is_some_and(is_recent)
     }
--- a/crates/bankvalve_queue/src/core/standby.rs
+++ b/crates/bankvalve_queue/src/core/member_ranks.rs
@@ -12,7 +12,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::election::PeerView;
-use super::yielding::reaches_table;
+use super::handover::reaches_table;
 use super::EntryCore;
 use crate::peer::PeerAddress;
 
@@ -63,7 +63,7 @@
     }
 
     /// Returns the preferred members, including this instance if it is one.
-    pub(super) fn near_members(&self) -> Vec<PeerAddress> {
+    pub(super) fn preferred_members(&self) -> Vec<PeerAddress> {
         let mut ranks: Vec<MemberRank> =
             self.ranked_peers().iter().map(|(rank, _)| *rank).collect();
         ranks.push(self.local_rank());
@@ -74,8 +74,8 @@
 
     /// Returns whether heartbeats with a peer come at the reduced rate: this instance leads a large
     /// site, and the peer is not a preferred member.
-    pub(super) fn is_slow_pair(&self, peer: PeerAddress) -> bool {
-        self.lead.is_some() && self.has_many_members() && !self.near.contains(&peer)
+    pub(super) fn has_slow_heartbeat(&self, peer: PeerAddress) -> bool {
+        self.lead.is_some() && self.has_many_members() && !self.preferred.contains(&peer)
     }
 
     /// Returns the members to send a heartbeat to now.
@@ -84,12 +84,12 @@
     /// this is called. `other_due` says whether those with other members are due, and `reduced_due`
     /// whether those of the leader and another member on a large site are.
     pub(super) fn heartbeat_targets(&self, other_due: bool, reduced_due: bool) -> Vec<PeerAddress> {
-        let near = self.near_members();
-        let is_preferred = |address: &PeerAddress| near.contains(address);
+        let preferred = self.preferred_members();
+        let is_preferred = |address: &PeerAddress| preferred.contains(address);
         let local_preferred = is_preferred(&self.settings.address);
         let leads = self.lead.is_some();
         let leader = self.leader.as_ref().map(|leader| leader.address);
-        let (large_site, lacks_contact) = (self.has_many_members(), self.doubts_leader());
+        let (large_site, lacks_contact) = (self.has_many_members(), self.lacks_leader_contact());
         let is_due = |peer: &PeerAddress| {
             let preferred_pair = local_preferred && is_preferred(peer);
             let leader_pair =
@@ -107,9 +107,9 @@
     }
 
     /// Returns whether this member is among the first to take over, by rank.
-    pub(super) fn is_first_heir(&self) -> bool {
-        let near = self.near_members();
-        let first = &near[..near.len().min(FIRST_SUCCESSORS)];
+    pub(super) fn is_first_successor(&self) -> bool {
+        let preferred = self.preferred_members();
+        let first = &preferred[..preferred.len().min(FIRST_SUCCESSORS)];
         first.contains(&self.settings.address)
     }
 
@@ -125,15 +125,15 @@
 
     /// Returns whether this instance is not a preferred member, while a preferred member that the
     /// table answers is alive.
-    pub(super) fn is_behind_near_members(&self) -> bool {
-        let near = self.near_members();
+    pub(super) fn defers_to_preferred(&self) -> bool {
+        let preferred = self.preferred_members();
         let leader = self.leader.as_ref().map(|leader| leader.address);
         let may_claim = |address: &PeerAddress| {
             let peer = self.peers.get(address);
             let is_able = |peer: &PeerView| peer.is_live(self.now) && reaches_table(peer);
             Some(*address) != leader && peer.is_some_and(is_able)
         };
-        !near.contains(&self.settings.address) && near.iter().any(may_claim)
+        !preferred.contains(&self.settings.address) && preferred.iter().any(may_claim)
     }
 
     /// Counts the members that may claim leadership before this one: preferred members, and others.
@@ -141,19 +141,19 @@
     /// A preferred member counts only those preferred members that are alive or starting. Any other
     /// member counts all of them, and all members count every other member, because they may receive
     /// no heartbeats from those.
-    pub(super) fn members_before_own(&self) -> (u32, u32) {
+    pub(super) fn higher_ranked_members(&self) -> (u32, u32) {
         let local = self.local_rank();
-        let near = self.near_members();
-        let local_preferred = near.contains(&self.settings.address);
+        let preferred = self.preferred_members();
+        let local_preferred = preferred.contains(&self.settings.address);
         let leader = self.leader.as_ref().map(|leader| leader.address);
         let mut before = (0, 0);
         for ((strength, address), peer) in self.ranked_peers() {
-            if (strength, address) >= local || Some(address) == leader || peer.news.stopping {
+            if (strength, address) >= local || Some(address) == leader || peer.heartbeat.stopping {
                 continue;
             }
-            let starting = peer.heard_at.is_none() && self.age(peer.known_at) < STARTUP_GRACE;
+            let starting = peer.last_contact.is_none() && self.age(peer.known_at) < STARTUP_GRACE;
             let live = peer.is_live(self.now);
-            if !near.contains(&address) {
+            if !preferred.contains(&address) {
                 before.1 += 1;
             } else if live || starting || !local_preferred {
                 before.0 += 1;
--- a/crates/bankvalve_queue/src/core/members.rs
+++ b/crates/bankvalve_queue/src/core/members.rs
@@ -3,12 +3,12 @@
 use std::time::Duration;
 
 use super::election::{LeaderView, PeerView};
+use super::member_ranks::MemberRow;
 use super::round_trip::PeerEcho;
-use super::standby::MemberRow;
 use super::store_link::{StorePurpose, CELL_TABLE, LEAD_PART, MEMBER_PART};
 use super::EntryCore;
 use crate::ids::CoreTime;
-use crate::peer::{HeartbeatNews, PeerAddress, PeerMessage};
+use crate::peer::{HeartbeatBody, PeerAddress, PeerMessage};
 use crate::store::{RowKey, RowWrite, StoreOutcome, StoreRequest};
 
 /// Interval between two heartbeats of preferred members. A takeover within about a second needs
@@ -57,7 +57,7 @@
             writes,
             removals: Vec::new(),
         };
-        self.ask_store(StorePurpose::Register, request);
+        self.send_store_request(StorePurpose::Register, request);
     }
 
     pub(super) fn end_register(&mut self, outcome: &StoreOutcome) {
@@ -65,10 +65,10 @@
         self.own_row.end(self.registered, self.now);
     }
 
-    pub(super) fn take_cell_row(&mut self, key: &RowKey, value: Option<&[u8]>, version: u64) {
+    pub(super) fn handle_cell_row(&mut self, key: &RowKey, value: Option<&[u8]>, version: u64) {
         if key.part == LEAD_PART {
             if let Some(value) = value {
-                self.take_leader_row(value, version);
+                self.handle_leader_row(value, version);
             }
             return;
         }
@@ -103,34 +103,35 @@
             return;
         }
         self.next_heartbeat = self.now + HEARTBEAT_INTERVAL;
-        let other_due = self.now >= self.next_far_heartbeat;
+        let other_due = self.now >= self.next_other_heartbeat;
         if other_due {
-            self.next_far_heartbeat = self.now + OTHER_HEARTBEAT_INTERVAL;
+            self.next_other_heartbeat = self.now + OTHER_HEARTBEAT_INTERVAL;
         }
         let reduced_due = self.now >= self.next_slow_heartbeat;
         if reduced_due {
             self.next_slow_heartbeat = self.now + REDUCED_HEARTBEAT_INTERVAL;
         }
-        self.near = self.near_members();
-        let news = self.own_news();
+        self.preferred = self.preferred_members();
+        let news = self.build_heartbeat();
         for peer in self.heartbeat_targets(other_due, reduced_due) {
-            let news = self.news_for(peer, &news);
-            self.tell(peer, PeerMessage::Heartbeat(news));
+            let news = self.heartbeat_for(peer, &news);
+            self.send_message(peer, PeerMessage::Heartbeat(news));
         }
         let wait = self.min_round_trip();
         if let Some(lead) = self.lead.as_deref_mut() {
-            lead.way_time = wait;
-            lead.load.note(self.now, wait.min(lead.link_time(self.now)));
+            lead.round_trip_time = wait;
+            lead.load
+                .note(self.now, wait.min(lead.link_delay(self.now)));
         }
-        self.tell_measures();
+        self.send_measurements();
         self.remove_lost_members();
     }
 
     /// Returns the contents of a heartbeat, except for the parts that differ by receiver.
-    pub(super) fn own_news(&self) -> HeartbeatNews {
+    pub(super) fn build_heartbeat(&self) -> HeartbeatBody {
         let leader = self.leader.as_ref();
         let lead = self.lead.as_deref();
-        HeartbeatNews {
+        HeartbeatBody {
             life: self.settings.life,
             strength: self.settings.strength,
             epoch: self.highest_epoch,
@@ -139,14 +140,16 @@
             loading: lead.is_some_and(|lead| !lead.loaded),
             leader_age_ms: match (&self.lead, leader) {
                 (Some(_), _) => 0,
-                (None, Some(leader)) => self.age(leader.heard_at).as_millis() as u64,
+                (None, Some(leader)) => self.age(leader.last_contact).as_millis() as u64,
                 (None, None) => u64::MAX,
             },
             store_trouble: lead.is_some_and(|lead| lead.trouble_since.is_some()),
             probe_age_ms: self
                 .probe_answered
                 .map(|at| self.age(at).as_millis() as u64),
-            store_age_ms: self.store_heard.map(|at| self.age(at).as_millis() as u64),
+            store_age_ms: self
+                .store_last_contact
+                .map(|at| self.age(at).as_millis() as u64),
             applied: self.applied,
             table_version: self.table_version(),
             table_age_ms: self
@@ -157,7 +160,7 @@
             sent_ms: 0,
             echo: None,
             stopping: self.stopping,
-            hold_ms: self.hold_time().as_millis() as u64,
+            hold_ms: self.lease_duration().as_millis() as u64,
         }
     }
 
@@ -168,7 +171,7 @@
         // Until now, members may have sent heartbeats only to the previous leader.
         let began_at = lead.began_at;
         let is_lost = |peer: &PeerView| {
-            let since = peer.heard_at.unwrap_or(peer.known_at).max(began_at);
+            let since = peer.last_contact.unwrap_or(peer.known_at).max(began_at);
             self.now.saturating_sub(since) > REMOVE_MEMBER_AFTER
         };
         let lost_peer = self.peers.iter().find(|(_, peer)| is_lost(peer));
@@ -183,16 +186,16 @@
             removals,
         };
         self.log("members", "drop", address.to_string(), String::new());
-        self.ask_store(StorePurpose::DropMember, request);
+        self.send_store_request(StorePurpose::DropMember, request);
     }
 
-    pub(super) fn take_heartbeat(&mut self, from: PeerAddress, news: HeartbeatNews) {
-        self.hear_of_table(from, news.table_version);
-        self.hear_of_newest(news.table_version, news.table_age_ms);
-        self.end_gift(from, news.table_version);
+    pub(super) fn handle_heartbeat(&mut self, from: PeerAddress, news: HeartbeatBody) {
+        self.note_announced_version(from, news.table_version);
+        self.note_newest_version(news.table_version, news.table_age_ms);
+        self.finish_outgoing_copy(from, news.table_version);
         if let Some(lead) = &self.lead {
             if news.epoch > lead.epoch {
-                self.depose("a peer reported a later epoch");
+                self.step_down("a peer reported a later epoch");
             }
         }
         if news.store_trouble {
@@ -200,36 +203,36 @@
         }
         self.update_leader_contact(from, &news);
         if news.leading {
-            self.hear_leader(from, &news);
+            self.note_leader_heartbeat(from, &news);
         } else if self.is_new_process_of_leader(from, &news) {
-            self.lose_leader();
+            self.mark_leader_gone();
             if let Some(leader) = self.leader.as_mut() {
                 leader.ended |= news.life > leader.life;
             }
         }
         let now = self.now;
         self.former_leaders.note_heartbeat(from, &news, now);
-        let slow = self.is_slow_pair(from);
+        let slow = self.has_slow_heartbeat(from);
         let peer = self.peers.entry(from).or_insert_with(|| PeerView {
             known_at: now,
             ..PeerView::default()
         });
-        if peer.news.life != news.life {
+        if peer.heartbeat.life != news.life {
             // Echoes from an earlier process of the peer say nothing about this one.
             peer.echo = PeerEcho::default();
         }
         let lacks_leader = slow && news.leader_age_ms > LEADER_CONTACT_TIMEOUT.as_millis() as u64;
-        let answer_now = peer.heard_at.is_none() || lacks_leader;
-        peer.heard_at = Some(now);
+        let answer_now = peer.last_contact.is_none() || lacks_leader;
+        peer.last_contact = Some(now);
         peer.strength = news.strength;
         peer.slow = slow;
         peer.echo.note(now, &news);
-        peer.news = news;
-        self.note_unheard_leaders();
+        peer.heartbeat = news;
+        self.note_unreachable_leaders();
         if answer_now && self.lead.is_some() {
             // The peer should learn who leads without waiting for the next heartbeat.
-            let news = self.news_for(from, &self.own_news());
-            self.tell(from, PeerMessage::Heartbeat(news));
+            let news = self.heartbeat_for(from, &self.build_heartbeat());
+            self.send_message(from, PeerMessage::Heartbeat(news));
         }
     }
 
@@ -238,8 +241,8 @@
     ///
     /// Only other members do so. Preferred members are in contact with the leader themselves, and
     /// their reports must not come back to them.
-    fn update_leader_contact(&mut self, from: PeerAddress, news: &HeartbeatNews) {
-        if !self.is_far_of_many() || !self.near.contains(&from) || news.leading {
+    fn update_leader_contact(&mut self, from: PeerAddress, news: &HeartbeatBody) {
+        if !self.is_behind_hubs() || !self.preferred.contains(&from) || news.leading {
             return;
         }
         let at = self
@@ -250,15 +253,15 @@
         };
         let same = news.leader == Some(leader.address) && news.epoch == leader.epoch;
         if same && !leader.gone {
-            leader.heard_at = leader.heard_at.max(at);
+            leader.last_contact = leader.last_contact.max(at);
             leader.refuse_percent = news.refuse_percent;
         }
     }
 
     /// Returns whether the last contact with the leader is so old that this instance should request
     /// a heartbeat from it.
-    pub(super) fn doubts_leader(&self) -> bool {
-        let recent = |leader: &LeaderView| self.age(leader.heard_at) < LEADER_CONTACT_TIMEOUT;
+    pub(super) fn lacks_leader_contact(&self) -> bool {
+        let recent = |leader: &LeaderView| self.age(leader.last_contact) < LEADER_CONTACT_TIMEOUT;
         !self.leader.as_ref().is_some_and(recent)
     }
 
@@ -277,7 +280,7 @@
         }
         if let Some(view) = self.peers.get_mut(&peer) {
             if refused {
-                view.heard_at = None;
+                view.last_contact = None;
                 view.known_at = view
                     .known_at
                     .max(self.now.saturating_sub(REMOVE_MEMBER_AFTER / 2));
@@ -285,16 +288,16 @@
         }
         self.reassign_advice(peer);
         if refused {
-            self.lose_carrier(peer);
+            self.remove_proxy(peer);
         }
-        self.lose_giver(peer);
+        self.drop_source(peer);
         let is_leader = self.lead.is_none()
             && self
                 .leader
                 .as_ref()
                 .is_some_and(|leader| leader.address == peer);
         if refused && is_leader {
-            self.lose_leader();
+            self.mark_leader_gone();
         }
     }
 
@@ -315,7 +318,7 @@
         } else {
             PEER_TIMEOUT
         };
-        self.heard_at
+        self.last_contact
             .is_some_and(|at| now.saturating_sub(at) < timeout)
     }
 }
--- a/crates/bankvalve_queue/src/core/round_trip.rs
+++ b/crates/bankvalve_queue/src/core/round_trip.rs
@@ -11,7 +11,7 @@
 use super::election::PeerView;
 use super::EntryCore;
 use crate::ids::CoreTime;
-use crate::peer::{HeartbeatEcho, HeartbeatNews, PeerAddress};
+use crate::peer::{HeartbeatBody, HeartbeatEcho, PeerAddress};
 
 /// Number of peers that must be alive before their echoes say anything about this instance's link.
 const MIN_PEERS: usize = 2;
@@ -19,7 +19,7 @@
 const MAX_ECHO_INTERVAL: Duration = Duration::from_millis(320);
 
 /// Upper limit of a round trip. A message that takes longer is considered lost.
-pub(super) const WAY_MOST: Duration = Duration::from_millis(1_500);
+pub(super) const MAX_ROUND_TRIP: Duration = Duration::from_millis(1_500);
 
 /// What a peer's heartbeats say about the round trip to it.
 #[derive(Clone, Copy, Debug, Default)]
@@ -37,7 +37,7 @@
 
 impl PeerEcho {
     /// Records a heartbeat and its echo.
-    pub(super) fn note(&mut self, now: CoreTime, news: &HeartbeatNews) {
+    pub(super) fn note(&mut self, now: CoreTime, news: &HeartbeatBody) {
         self.last_heartbeat = Some((news.sent_ms, now));
         self.first_heartbeat.get_or_insert(now);
         let Some(echo) = &news.echo else {
@@ -59,7 +59,7 @@
     }
 
     /// Returns when its last heartbeat arrived.
-    pub(super) fn heard_at(&self) -> Option<CoreTime> {
+    pub(super) fn last_contact(&self) -> Option<CoreTime> {
         self.last_heartbeat.map(|(_, at)| at)
     }
 
@@ -87,8 +87,8 @@
 
 impl EntryCore {
     /// Adds the parts of a heartbeat that are specific to one peer.
-    pub(super) fn news_for(&self, peer: PeerAddress, news: &HeartbeatNews) -> HeartbeatNews {
-        HeartbeatNews {
+    pub(super) fn heartbeat_for(&self, peer: PeerAddress, news: &HeartbeatBody) -> HeartbeatBody {
+        HeartbeatBody {
             sent_ms: self.now.as_millis() as u64,
             echo: self
                 .peers
@@ -100,11 +100,11 @@
 
     /// Returns the round-trip time to the leader. A request that is repeated before its answer can have
     /// arrived goes over the same congested link.
-    pub(super) fn way_to_leader(&self) -> Duration {
+    pub(super) fn round_trip_to_leader(&self) -> Duration {
         let leader = self.leader.as_ref().map(|leader| leader.address);
         let peer = leader.and_then(|leader| self.peers.get(&leader));
         let echo = peer.map(|peer| &peer.echo);
-        let time = if self.is_far_of_many() {
+        let time = if self.is_behind_hubs() {
             // Echoes come at the reduced rate. An overdue one would count as a round trip of a second
             // and a half, and the request would be repeated when its caller's time has almost run out.
             // The hubs' reports of lost contact with the leader hold requests back sooner.
@@ -113,19 +113,19 @@
         } else {
             echo.and_then(|echo| echo.round_trip(self.now))
         };
-        time.unwrap_or_default().min(WAY_MOST)
+        time.unwrap_or_default().min(MAX_ROUND_TRIP)
     }
 
     /// Returns the shortest round-trip time among the live preferred members, or zero if there are too
     /// few of them.
     pub(super) fn min_round_trip(&self) -> Duration {
-        let near = |address: &&PeerAddress| self.near.contains(address);
+        let preferred = |address: &&PeerAddress| self.preferred.contains(address);
         let time = |peer: &PeerView| {
             peer.echo
                 .round_trip(self.now)
                 .filter(|_| peer.is_live(self.now))
         };
-        let peers = self.peers.iter().filter(|(address, _)| near(address));
+        let peers = self.peers.iter().filter(|(address, _)| preferred(address));
         let times: Vec<Duration> = peers.filter_map(|(_, peer)| time(peer)).collect();
         if times.len() < MIN_PEERS {
             return Duration::ZERO;
--- a/crates/bankvalve_queue/src/core/table_pull.rs
+++ b/crates/bankvalve_queue/src/core/table_pull.rs
@@ -9,7 +9,7 @@
 use super::EntryCore;
 use crate::core::CoreAction;
 use crate::ids::CoreTime;
-use crate::peer::{peer_time, PeerAddress, PeerMessage};
+use crate::peer::{peer_batch_timeout, PeerAddress, PeerMessage};
 
 /// Number of peers asked at a time: some may be dead, or have no newer configuration either.
 const PEERS_PER_QUERY: usize = 3;
@@ -33,7 +33,7 @@
 
 /// A copy of the configuration that is being sent to a peer.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct PeerGift {
+pub(super) struct OutgoingCopy {
     to: PeerAddress,
     version: u64,
     until: CoreTime,
@@ -69,7 +69,7 @@
         self.log("config", "pull", version.to_string(), detail);
         self.counters.count("config", "pull");
         for peer in asked {
-            self.tell(peer, PeerMessage::TableWanted { version });
+            self.send_message(peer, PeerMessage::TableWanted { version });
         }
     }
 
@@ -80,7 +80,7 @@
         let in_force = self.table_version();
         let leader = self.leader.as_ref().map(|leader| leader.address);
         let others: Vec<PeerAddress> = self
-            .near_members()
+            .preferred_members()
             .into_iter()
             .filter(|address| Some(*address) != leader)
             .collect();
@@ -89,8 +89,8 @@
                 return false;
             };
             // A member that is not preferred may receive no heartbeats from preferred members.
-            let newer = peer.news.table_version > in_force || !peer.is_live(self.now);
-            newer && !peer.news.stopping
+            let newer = peer.heartbeat.table_version > in_force || !peer.is_live(self.now);
+            newer && !peer.heartbeat.stopping
         };
         let mut candidates: Vec<PeerAddress> = others.into_iter().filter(may_have).collect();
         if candidates.is_empty() || self.tables.pull.round_count % 2 == 1 {
@@ -102,56 +102,59 @@
     /// Returns whether a copy is being sent to a peer other than `receiver`.
     fn is_sending_copy(&self, receiver: PeerAddress) -> bool {
         let now = self.now;
-        let other = self.tables.gift.filter(|gift| gift.to != receiver);
-        other.is_some_and(|gift| now < gift.until)
+        let other = self
+            .tables
+            .outgoing
+            .filter(|outgoing| outgoing.to != receiver);
+        other.is_some_and(|outgoing| now < outgoing.until)
     }
 
     /// Handles a peer's query for a newer configuration than `version`.
-    pub(super) fn take_table_wanted(&mut self, from: PeerAddress, version: u64) {
+    pub(super) fn handle_table_wanted(&mut self, from: PeerAddress, version: u64) {
         let bytes = self.tables.raw.len() as u64;
         if self.table_version() <= version || self.is_sending_copy(from) || bytes == 0 {
             self.counters.count("config", "pull_refused");
             return;
         }
         let version = self.table_version();
-        self.tell(from, PeerMessage::TableOffer { version, bytes });
+        self.send_message(from, PeerMessage::TableOffer { version, bytes });
     }
 
     /// Handles a peer's offer of a newer configuration.
-    pub(super) fn take_table_offer(&mut self, from: PeerAddress, version: u64, bytes: u64) {
+    pub(super) fn handle_table_offer(&mut self, from: PeerAddress, version: u64, bytes: u64) {
         let now = self.now;
         let wanted = version > self.table_version() && self.tables.is_unanswered(now);
         let pull = &mut self.tables.pull;
         if !wanted || pull.source.is_some_and(|(_, until)| now < until) {
             return;
         }
-        pull.source = Some((from, now + peer_time(bytes as usize)));
-        self.tell(from, PeerMessage::TableTaken);
+        pull.source = Some((from, now + peer_batch_timeout(bytes as usize)));
+        self.send_message(from, PeerMessage::TableTaken);
     }
 
     /// Sends the configuration to a peer that has accepted the offer.
-    pub(super) fn take_table_taken(&mut self, from: PeerAddress) {
+    pub(super) fn handle_table_taken(&mut self, from: PeerAddress) {
         if self.is_sending_copy(from) {
             // Another peer accepted first. This one asks again once it is refused.
             self.counters.count("config", "pull_refused");
-            self.tell(from, PeerMessage::TableRefused);
+            self.send_message(from, PeerMessage::TableRefused);
             return;
         }
         let version = self.table_version();
         let raw = self.tables.raw.clone();
         let bytes = raw.len();
-        self.tables.gift = Some(PeerGift {
+        self.tables.outgoing = Some(OutgoingCopy {
             to: from,
             version,
-            until: self.now + peer_time(bytes),
+            until: self.now + peer_batch_timeout(bytes),
         });
         self.log("config", "pass_on", from.to_string(), version.to_string());
         self.counters.count("config", "passed_on");
-        self.tell(from, PeerMessage::Table { raw });
+        self.send_message(from, PeerMessage::Table { raw });
     }
 
     /// Handles a peer that refuses to send its configuration after the offer, or that is unreachable.
-    pub(super) fn lose_giver(&mut self, peer: PeerAddress) {
+    pub(super) fn drop_source(&mut self, peer: PeerAddress) {
         let pull = &mut self.tables.pull;
         if pull.source.is_some_and(|(source, _)| source == peer) {
             pull.source = None;
@@ -160,7 +163,7 @@
     }
 
     /// Handles a configuration from a peer.
-    pub(super) fn take_peer_table(&mut self, raw: Vec<u8>) {
+    pub(super) fn handle_peer_table(&mut self, raw: Vec<u8>) {
         self.tables.pull = PeerPull {
             next_at: self.now + MIN_PULL_INTERVAL,
             ..PeerPull::default()
@@ -169,10 +172,10 @@
     }
 
     /// Ends the outgoing copy to a peer that has its version in force, since it has arrived.
-    pub(super) fn end_gift(&mut self, peer: PeerAddress, version: u64) {
-        let arrived = |gift: &PeerGift| gift.to == peer && version >= gift.version;
-        if self.tables.gift.as_ref().is_some_and(arrived) {
-            self.tables.gift = None;
+    pub(super) fn finish_outgoing_copy(&mut self, peer: PeerAddress, version: u64) {
+        let arrived = |outgoing: &OutgoingCopy| outgoing.to == peer && version >= outgoing.version;
+        if self.tables.outgoing.as_ref().is_some_and(arrived) {
+            self.tables.outgoing = None;
         }
     }
 }
--- a/crates/bankvalve_queue/src/core/table_watch.rs
+++ b/crates/bankvalve_queue/src/core/table_watch.rs
@@ -9,7 +9,7 @@
 
 use super::denials::DenialLookup;
 use super::store_link::{StorePurpose, WatchState, RETRY_PAUSE};
-use super::table_pull::{PeerGift, PeerPull};
+use super::table_pull::{OutgoingCopy, PeerPull};
 use super::EntryCore;
 use crate::core::CoreAction;
 use crate::guard::SiteGuard;
@@ -76,7 +76,7 @@
     /// When the table last answered a watch or a query of the configuration.
     pub(super) confirmed: Option<CoreTime>,
     pub(super) pull: PeerPull,
-    pub(super) gift: Option<PeerGift>,
+    pub(super) outgoing: Option<OutgoingCopy>,
     pub(super) lookups: Vec<DenialLookup>,
     /// When the configuration in force was last known to be the newest, from the table or from a peer
     /// with the same version.
@@ -124,7 +124,7 @@
                 StoreRequest::WatchOperator { after, wait_ms }
             }
         };
-        self.ask_store(StorePurpose::Operator, request);
+        self.send_store_request(StorePurpose::Operator, request);
     }
 
     /// Queries the table for a newer version, if a peer has announced one or the configuration in force
@@ -154,7 +154,7 @@
             complete,
         });
         self.counters.count("config", "question");
-        self.ask_store(StorePurpose::AskOperator, request);
+        self.send_store_request(StorePurpose::AskOperator, request);
     }
 
     /// Returns whether a peer has announced a newer version than the one in force here.
@@ -169,7 +169,7 @@
     }
 
     /// Records that a peer with this version in force knew it to be the newest `age_ms` ago.
-    pub(super) fn hear_of_newest(&mut self, version: u64, age_ms: Option<u64>) {
+    pub(super) fn note_newest_version(&mut self, version: u64, age_ms: Option<u64>) {
         let Some(age_ms) = age_ms.filter(|_| version == self.table_version()) else {
             return;
         };
@@ -188,7 +188,7 @@
     }
 
     /// Records the version that a peer has in force.
-    pub(super) fn hear_of_table(&mut self, from: PeerAddress, version: u64) {
+    pub(super) fn note_announced_version(&mut self, from: PeerAddress, version: u64) {
         let in_force = self.table_version();
         if version <= in_force || version <= self.tables.announced {
             return;
@@ -204,15 +204,15 @@
 
     /// Handles the start of an answer to a request, which is arriving.
     pub(super) fn store_begins(&mut self, ticket: Ticket) {
-        let request = self.store_tickets.get(&ticket);
+        let request = self.open_store_requests.get(&ticket);
         let purpose = request.map(|request| &request.purpose);
         if matches!(
             purpose,
             Some(StorePurpose::Operator | StorePurpose::AskOperator)
         ) {
-            self.extend_question(ticket);
+            self.extend_store_request(ticket);
             self.tables.arriving = Some(ticket);
-            self.store_heard = Some(self.now);
+            self.store_last_contact = Some(self.now);
         }
     }
 
@@ -331,7 +331,7 @@
         }
         // The complete row is read again when the table has dropped its history.
         let same = self.table.is_some() && known == version;
-        if same || (older && self.keeps(SiteGuard::NewerTable)) {
+        if same || (older && self.enforces(SiteGuard::NewerTable)) {
             return;
         }
         let detail = format!(
@@ -346,12 +346,12 @@
             .queues()
             .map(|queue| queue.terms.service.clone())
             .collect();
-        self.name_services(services);
+        self.note_services_in_use(services);
         self.table = Some(table);
         self.tables.raw = raw;
         self.tables.in_force_since = self.now;
         if let Some(lead) = self.lead.as_deref_mut() {
-            lead.stale = true;
+            lead.placement_due = true;
         }
     }
 }
