--- a/crates/bankvalve_queue/src/core/entry_core.rs
+++ b/crates/bankvalve_queue/src/core/entry_core.rs
@@ -1,4 +1,4 @@
-//! The state of an instance, and how an event passes through it.
+//! The state of an entry instance, and the dispatch of events to it.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -31,47 +31,50 @@
 use crate::store::{StoreOutcome, StoreRequest};
 use crate::worker::{AdviceAnswer, AdviceRequest, WorkerAnswer, WorkerCall};
 
-/// Tickets that a life has room for, as a power of two, so that an answer to an earlier life is
-/// never taken for one to this; with a life in milliseconds since 1970 they last for centuries.
-const TICKETS_OF_LIFE_BITS: u32 = 22;
-/// Time between two ticks of a leader that has something to keep or to place.
-const BUSY_TICK: Duration = Duration::from_millis(5);
-/// Time between two ticks of a leader.
-const LEAD_TICK: Duration = Duration::from_millis(20);
-/// Time between two ticks of an instance that follows.
-const FOLLOW_TICK: Duration = Duration::from_millis(50);
+/// Bits of a ticket that number the tickets of one process. The upper bits hold the start time of the
+/// process, so that an answer to an earlier process is never taken for one to this process. With a
+/// start time in milliseconds since 1970, tickets do not run out for centuries.
+const TICKET_NUMBER_BITS: u32 = 22;
+/// Interval of ticks on a leader that has events to commit or tasks to place.
+const BUSY_LEADER_TICK: Duration = Duration::from_millis(5);
+/// Interval of ticks on a leader that is not busy.
+const LEADER_TICK: Duration = Duration::from_millis(20);
+/// Interval of ticks on a follower.
+const FOLLOWER_TICK: Duration = Duration::from_millis(50);
 
-/// Reading of the inner clock at the start, so that times before the start can be told.
-const TIME_BASE: Duration = Duration::from_secs(3_600);
+/// Reading of the internal clock at the start of the process. It is not zero, so that earlier points in
+/// time can be represented.
+const CLOCK_BASE: Duration = Duration::from_secs(3_600);
 
-/// What an instance is told about itself and its cell.
+/// Settings of an instance.
 #[derive(Clone, Debug)]
 pub struct EntrySettings {
-    /// Where it listens for peers.
+    /// Address at which it listens for peers.
     pub address: PeerAddress,
-    /// Start of its life, milliseconds since 1970.
+    /// Start time of this process, in milliseconds since 1970.
     pub life: WallMillis,
-    /// Processor that it has, in thousandths of a core; the strongest instances lead.
+    /// CPU capacity of the instance, in millicores. Instances with the most CPU are preferred as
+    /// leaders.
     pub strength: u64,
-    /// Longest hold that a worker grants.
+    /// Longest lease that a worker accepts.
     pub hold_limit: Duration,
-    /// How much earlier than due a task may start.
+    /// How long before its due time a task may start.
     pub early: Duration,
-    /// How long an ended job's state is told.
+    /// How long the state of an ended job can be queried.
     pub status_time: Duration,
     /// Longest value of a row, in bytes before encoding.
     pub row_bytes: usize,
-    /// Time since it was last known that keys still hold, after which no request with a key is
-    /// taken up; none if such requests are taken up whatever it is.
+    /// Maximum age of the last confirmation that the local configuration is the newest. Requests with a
+    /// key are refused once it is older; `None` if they are always accepted.
     pub key_age_limit: Option<Duration>,
-    /// Guard that is taken away; none but in checks.
+    /// Guard to disable; `None` except in checks.
     pub broken: Option<SiteGuard>,
-    /// Policy that is switched off; none but in measurements.
+    /// Policy to switch off; `None` except in measurements.
     pub without: Option<PolicySwitch>,
 }
 
 impl EntrySettings {
-    /// Settings for tests and examples.
+    /// Returns settings for tests and examples.
     pub fn example(address: PeerAddress) -> Self {
         Self {
             address,
@@ -88,134 +91,134 @@
     }
 }
 
-/// Something that happened.
+/// An event that the instance handles.
 #[derive(Clone, Debug)]
 pub enum CoreEvent {
     /// Time has passed.
     Tick,
-    /// A peer said something.
+    /// A message arrived from a peer.
     Peer {
-        /// Who.
+        /// Sender.
         from: PeerAddress,
-        /// What.
+        /// The message.
         message: PeerMessage,
     },
-    /// Messages to a peer did not arrive, as far as is known.
+    /// Messages to a peer were probably not delivered.
     PeerUnreached {
-        /// Who.
+        /// The peer.
         peer: PeerAddress,
         /// Whether its port refused the connection.
         refused: bool,
     },
-    /// The table answered, or did not.
+    /// A request to the platform's table has ended, with or without an answer.
     Store {
-        /// Number of the request.
+        /// Ticket of the request.
         ticket: Ticket,
-        /// What became of it.
+        /// Outcome of the request.
         outcome: StoreOutcome,
     },
-    /// The table's answer about the configuration has begun to arrive, and will come whole or be
-    /// told as lost.
+    /// The table's answer to a configuration request has begun to arrive. A [`CoreEvent::Store`]
+    /// follows when it is complete or lost.
     StoreBegins {
-        /// Number of the request.
+        /// Ticket of the request.
         ticket: Ticket,
     },
-    /// A worker answered, or did not.
+    /// A call to a worker has ended, with or without an answer.
     Worker {
-        /// Number of the call.
+        /// Ticket of the call.
         ticket: Ticket,
-        /// What became of it.
+        /// Outcome of the call.
         answer: WorkerAnswer,
     },
-    /// The policy service answered, or did not.
+    /// A request to the policy service has ended, with or without an answer.
     Advice {
-        /// Number of the question.
+        /// Ticket of the request.
         ticket: Ticket,
         /// The answer.
         answer: AdviceAnswer,
     },
-    /// A caller asks.
+    /// A caller's request arrived.
     Caller {
-        /// Number of the request.
+        /// Ticket of the request.
         ticket: Ticket,
         /// The request.
         request: ResolvedRequest,
     },
-    /// The configuration in force denies a caller's request. The answer is
-    /// [`CallerAnswer::TableIsNewest`] once that one is sure to be as new as the request, or a
-    /// refusal.
+    /// The configuration in force denies a caller's request. The instance answers with
+    /// [`CallerAnswer::TableIsNewest`] once that configuration is known to be at least as new as the
+    /// request, or with a refusal.
     RequestDenied {
-        /// Number of the request.
+        /// Ticket of the request.
         ticket: Ticket,
-        /// Host and path that the caller named, for the log.
+        /// Host and path in the caller's request, for the log.
         asked: String,
-        /// Why it is denied.
+        /// Why the request is denied.
         reason: DenialReason,
-        /// Time that the caller waits, in milliseconds.
+        /// How long the caller waits, in milliseconds.
         patience_ms: u64,
     },
     /// A planned stop begins.
     Stop,
 }
 
-/// Something to be done.
+/// An action that the program around the core must carry out.
 #[derive(Clone, Debug)]
 pub enum CoreAction {
-    /// Ask the table.
+    /// Send a request to the platform's table.
     Store {
-        /// Number of the request.
+        /// Ticket of the request.
         ticket: Ticket,
         /// The request.
         request: StoreRequest,
-        /// Longest time to wait for the answer; of one about the configuration, which may be
-        /// large, for its beginning.
+        /// Timeout for the answer. For a configuration, which may be large, it is the timeout for the
+        /// beginning of the answer.
         time: Duration,
     },
     /// Call a worker.
     Worker {
-        /// Number of the call.
+        /// Ticket of the call.
         ticket: Ticket,
-        /// Life of the worker that is meant.
+        /// Id of the worker.
         worker: WorkerId,
-        /// Where it listens.
+        /// Address at which the worker listens.
         address: String,
-        /// Token that goes with the call.
+        /// Fencing token that is sent with the call.
         token: FenceToken,
         /// The call.
         call: WorkerCall,
-        /// Longest time to wait for the answer.
+        /// Timeout for the answer.
         time: Duration,
     },
-    /// Ask the policy service.
+    /// Send a request to the policy service.
     Advice {
-        /// Number of the question.
+        /// Ticket of the request.
         ticket: Ticket,
-        /// The question.
+        /// The request.
         ask: AdviceRequest,
     },
-    /// Say something to a peer.
+    /// Send a message to a peer.
     Peer {
-        /// To whom.
+        /// The receiver.
         to: PeerAddress,
-        /// What.
+        /// The message.
         message: PeerMessage,
     },
     /// Answer a caller.
     Answer {
-        /// Number of the request.
+        /// Ticket of the caller's request.
         ticket: Ticket,
         /// The answer.
         answer: CallerAnswer,
     },
-    /// Use a configuration for routing callers.
+    /// Use this configuration to route callers' requests.
     UseTable(QueueTable),
-    /// Decode a configuration that a peer passed on.
+    /// Decode a configuration that a peer sent.
     DecodeTable(Vec<u8>),
     /// Log a decision.
     Log(DecisionLine),
 }
 
-/// One entry instance.
+/// The state machine of one entry instance.
 ///
 /// # Examples
 ///
@@ -232,13 +235,13 @@
     pub(super) settings: EntrySettings,
     pub(super) now: CoreTime,
     pub(super) wall: WallMillis,
-    /// Time for which the event that is being taken has waited for its turn.
+    /// How long the current event waited before it was handled.
     pub(super) lag: Duration,
     pub(super) table: Option<QueueTable>,
     pub(super) tables: TableWatch,
     pub(super) limits: CustomerLimits,
     pub(super) peers: BTreeMap<PeerAddress, PeerView>,
-    /// The near members, as of the last heartbeat.
+    /// The preferred members, as of the last heartbeat.
     pub(super) preferred: Vec<PeerAddress>,
     pub(super) leader: Option<LeaderView>,
     pub(super) highest_epoch: u64,
@@ -246,13 +249,13 @@
     pub(super) members_known: bool,
     pub(super) claim: Option<super::election::ClaimState>,
     pub(super) claims_unanswered: u32,
-    /// Latest epoch that was claimed.
+    /// Latest epoch that this instance claimed.
     pub(super) claimed_epoch: u64,
-    /// Epoch that was claimed last, and when the first copy of that claim was sent.
+    /// Epoch of the last claim, and when its first copy was sent.
     pub(super) claim_sent: (u64, CoreTime),
     pub(super) suspect_since: Option<CoreTime>,
     pub(super) handover_epoch: Option<u64>,
-    /// Whether the leader that asked had stopped commanding.
+    /// Whether the leader that requested the handover has already stopped commanding workers.
     pub(super) handover_leader_stopped: bool,
     pub(super) former_leaders: FormerLeaders,
     pub(super) stopped_leases: StoppedLeases,
@@ -262,55 +265,56 @@
     pub(super) book: JobBook,
     pub(super) applied: u64,
     pub(super) catch_up_at: Option<CoreTime>,
-    /// When the leader's row, which did not come, is read anew.
+    /// When to retry reading the leader's row after a failed read.
     pub(super) leader_row_at: Option<CoreTime>,
     pub(super) ledger_page: LedgerPage,
-    /// Whether the ledger is being read on, so that the book surely lacks some of it.
+    /// Whether the ledger is being read, which means that the book is incomplete.
     pub(super) catching_up: bool,
     pub(super) lead: Option<Box<LeadState>>,
-    /// What the leader last told of workers' slowness and queues' guesses.
+    /// Slowness of workers and estimate errors of queues, as last sent by the leader.
     pub(super) measurements: (BTreeMap<WorkerId, f64>, BTreeMap<String, f64>),
     pub(super) open_requests: BTreeMap<Ticket, OpenRequest>,
     pub(super) follower_reads: FollowerReads,
     pub(super) proxied_advice: BTreeMap<Ticket, (PeerAddress, Ticket)>,
-    /// Calls that this instance carries for the leader.
+    /// Calls that this instance sends for the leader.
     pub(super) proxied_calls: BTreeMap<Ticket, ProxyOrigin>,
     pub(super) open_store_requests: BTreeMap<Ticket, OpenStoreRequest>,
     pub(super) store_timeouts: StoreTimeouts,
     pub(super) cell_watch: WatchState,
-    /// The writing of the own row.
+    /// State of the write of this instance's member row.
     pub(super) own_row: WatchState,
     pub(super) worker_watch: WatchState,
     pub(super) entry_scan: EntryScan,
-    /// When the last question about the workers' entries was sent, and the last that was answered.
+    /// When the last request for the workers' entries was sent.
     pub(super) worker_list_sent: CoreTime,
+    /// When the last answered request for the workers' entries was sent.
     pub(super) worker_list_at: Option<CoreTime>,
-    /// Services that a queue or an open job has named: workers of others are not ours to call.
+    /// Services named by a queue or an open job. Workers of other services are not called.
     pub(super) services: BTreeSet<String>,
     pub(super) probe_answered: Option<CoreTime>,
-    /// When the table last answered anything.
+    /// When the table last answered any request.
     pub(super) store_last_contact: Option<CoreTime>,
     pub(super) next_probe: CoreTime,
-    /// Since when no leader has worked, as far as is known.
+    /// How long there has been no working leader, to the knowledge of this instance.
     pub(super) leader_gap: LeaderGap,
     pub(super) next_ticket: Ticket,
     pub(super) stopping: bool,
-    /// What was last logged of its readiness: why it was not ready, or that it was.
+    /// The readiness that was last logged: the reason for not being ready, or `Some(None)` for ready.
     pub(super) logged_readiness: Option<Option<UnreadyReason>>,
     pub(super) log_budget: LogBudget,
-    /// Lets new jobs pass as the leader takes them on.
+    /// Admits the share of new jobs that the leader accepts.
     pub(super) gate: ShareGate,
     pub(super) counters: EntryCounters,
     pub(super) actions: Vec<CoreAction>,
 }
 
 impl EntryCore {
-    /// Makes an instance that knows nothing yet.
+    /// Creates an instance with an empty state.
     pub fn new(settings: EntrySettings) -> Self {
-        let next_ticket = settings.life << TICKETS_OF_LIFE_BITS;
+        let next_ticket = settings.life << TICKET_NUMBER_BITS;
         Self {
             settings,
-            now: TIME_BASE,
+            now: CLOCK_BASE,
             wall: 0,
             lag: Duration::ZERO,
             table: None,
@@ -369,12 +373,11 @@
         }
     }
 
-    /// Takes an event at a time and returns what is to be done.
+    /// Handles an event and returns the resulting actions.
     ///
-    /// `now` is the instance's steady clock and must not fall; `wall` is the
-    /// time of day.
+    /// `now` is the instance's monotonic clock and must not go back. `wall` is the time of day.
     pub fn step(&mut self, now: CoreTime, wall: WallMillis, event: CoreEvent) -> Vec<CoreAction> {
-        let pause = (now + TIME_BASE).saturating_sub(self.now);
+        let pause = (now + CLOCK_BASE).saturating_sub(self.now);
         self.now += pause;
         self.wall = wall;
         if let Some(lead) = self.lead.as_deref_mut() {
@@ -401,12 +404,13 @@
         std::mem::take(&mut self.actions)
     }
 
-    /// Tells for how long the next event has waited for its turn: how far behind the instance is.
+    /// Records how long the next event has waited in the queue, which shows how far behind the instance
+    /// is.
     pub fn note_lag(&mut self, lag: Duration) {
         self.lag = lag;
     }
 
-    /// How the instance stands.
+    /// Returns the status of the instance, for readiness and metrics.
     pub fn view(&self) -> EntryView {
         let lead = self.lead.as_deref();
         EntryView {
@@ -432,43 +436,44 @@
         }
     }
 
-    /// Whether it leads.
+    /// Returns whether this instance leads.
     pub fn leads(&self) -> bool {
         self.lead.is_some()
     }
 
-    /// Whether so many events come to it that they had better be taken together.
+    /// Returns whether the instance receives so many events that they are better handled in batches.
     pub fn prefers_batches(&self) -> bool {
         let lead = self.lead.as_deref();
         lead.is_some_and(|lead| lead.proxies.are_used())
     }
 
-    /// Version of the configuration in force; 0 before the first.
+    /// Returns the version of the configuration in force; 0 if there is none yet.
     pub fn table_version(&self) -> u64 {
         self.table.as_ref().map_or(0, |table| table.version)
     }
 
-    /// The jobs as this instance knows them.
+    /// Returns the state of all jobs as this instance knows it.
     pub fn book(&self) -> &JobBook {
         &self.book
     }
 
-    /// Gives the instance a configuration that was decoded for it.
+    /// Puts a decoded configuration from a peer into force, unless it is older.
     pub fn install_table(&mut self, table: QueueTable, raw: Vec<u8>) -> Vec<CoreAction> {
         self.use_table(table, raw, TableSource::Peer);
         std::mem::take(&mut self.actions)
     }
 
-    /// Time until the next tick is due, if nothing else happens.
+    /// Returns the time until the next tick, if no other event comes first.
     pub fn wake_after(&self) -> Duration {
         match self.lead.as_deref() {
-            Some(lead) if lead.is_busy() => BUSY_TICK,
-            Some(_) => LEAD_TICK,
-            None => FOLLOW_TICK,
+            Some(lead) if lead.is_busy() => BUSY_LEADER_TICK,
+            Some(_) => LEADER_TICK,
+            None => FOLLOWER_TICK,
         }
     }
 
-    /// A number for a caller's request, unlike all others of this instance and its earlier lives.
+    /// Returns a ticket for a caller's request that neither this process nor an earlier one of this
+    /// instance has used.
     pub fn new_ticket(&mut self) -> Ticket {
         self.take_ticket()
     }
@@ -504,19 +509,19 @@
         self.actions.push(CoreAction::Peer { to, message });
     }
 
-    /// Tells whether a guard stands.
+    /// Returns whether a guard is enforced.
     pub(super) fn enforces(&self, guard: SiteGuard) -> bool {
         self.settings.broken != Some(guard)
     }
 
-    /// Tells whether a policy is on.
+    /// Returns whether a policy is switched on.
     pub(super) fn uses(&self, policy: PolicySwitch) -> bool {
         self.settings.without != Some(policy)
     }
 
-    /// Time since the instance started.
+    /// Returns the time since the instance started.
     pub(super) fn uptime(&self) -> Duration {
-        self.now.saturating_sub(TIME_BASE)
+        self.now.saturating_sub(CLOCK_BASE)
     }
 
     pub(super) fn age(&self, at: CoreTime) -> Duration {
--- a/crates/bankvalve_queue/src/core/lead_state.rs
+++ b/crates/bankvalve_queue/src/core/lead_state.rs
@@ -1,4 +1,4 @@
-//! What only the leader knows.
+//! State that only a leader has, and the leader's main loop.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
@@ -26,48 +26,51 @@
 use crate::ledger::JobOutcome;
 use crate::peer::PeerAddress;
 
-/// Pause before a time that is due is looked at again whose job has many open ones.
-const CROWDED_PAUSE_MS: u64 = 500;
-
-/// Time between two looks for jobs that ended so long ago that they are forgotten.
-const FORGET_EVERY: Duration = Duration::from_secs(5);
-
-/// Longest time that a start is reckoned to take to be kept: permits last some 1.5 s, and must
-/// stay usable while the table is slow.
-const KEEP_LIMIT: Duration = Duration::from_millis(900);
-
-/// Pause of all that an instance does after which another may lead: less than the silence after which
-/// the first in rank claims.
-const STOOD_STILL: Duration = Duration::from_millis(600);
-
-/// Time for which a write that was answered tells of the own link.
-const COMMIT_TELLS: Duration = Duration::from_millis(1_000);
-
-/// Time between two goes through all workers, for each of them: some four hundred times what a look
-/// at one costs.
-const SCAN_EACH: Duration = Duration::from_micros(45);
-/// Longest time between two of them.
-const SCAN_MOST: Duration = Duration::from_millis(50);
-
-/// The usual time of an answer, times this, after which it is taken for lost: an order that is
-/// repeated needlessly does no harm, and costs what one call costs.
-const ANSWER_FACTOR: u32 = 8;
-/// Least time of that kind: some ten ways across a site, and a small instance's turn.
-const ANSWER_LEAST: Duration = Duration::from_millis(80);
-
-/// Share of answers that are missed from which on answers are late rather than lost, in thousandths,
-/// and how many answers it is taken over: the platform loses some in ten, seldom four.
-const MISSED_MOSTLY: u32 = 650;
-const MISS_MEMORY: u32 = 24;
-/// Time by which an answer is then waited for longer after each one that was missed, and at most,
-/// which is reached after some thirty.
-const MISS_STEP: Duration = Duration::from_millis(10);
-const MISS_MOST: Duration = Duration::from_millis(1_500);
-
-/// What a call to a worker was for.
+/// Pause before the next due repetition of a job is checked again, if too many of its repetitions are
+/// open.
+const OPEN_TIMES_PAUSE_MS: u64 = 500;
+
+/// Interval at which jobs that ended long ago are removed from the book.
+const FORGET_INTERVAL: Duration = Duration::from_secs(5);
+
+/// Upper bound on the estimated time to commit a start. Permits are valid for about 1.5 s and must stay
+/// usable while the table is slow.
+const MAX_TIME_TO_COMMIT: Duration = Duration::from_millis(900);
+
+/// Gap between two events after which another instance may lead. It is shorter than the silence after
+/// which the first-ranked member claims the leadership.
+const FREEZE_THRESHOLD: Duration = Duration::from_millis(600);
+
+/// How long the duration of an answered write counts as a measurement of this instance's link.
+const LINK_DELAY_VALIDITY: Duration = Duration::from_millis(1_000);
+
+/// Interval between two scans of all workers, for each worker: about 400 times the cost of checking
+/// one.
+const SCAN_INTERVAL_PER_WORKER: Duration = Duration::from_micros(45);
+/// Longest interval between two scans.
+const MAX_SCAN_INTERVAL: Duration = Duration::from_millis(50);
+
+/// An answer counts as lost after this multiple of the usual answer time. Repeating an order that did
+/// arrive does no harm and costs one call.
+const ANSWER_LIMIT_FACTOR: u32 = 8;
+/// Shortest time after which an answer counts as lost: about ten one-way trips across a site, plus the
+/// scheduling delay of a small instance.
+const MIN_ANSWER_LIMIT: Duration = Duration::from_millis(80);
+
+/// Share of missed answers, in thousandths, above which answers count as late instead of lost. The
+/// platform loses a few of ten answers, seldom four.
+const MOSTLY_MISSED_PERMILLE: u32 = 650;
+/// Number of answers over which the share of missed answers is averaged.
+const MISS_WINDOW: u32 = 24;
+/// Time that each further missed answer adds to the wait for answers once they count as late.
+const MISS_WAIT_STEP: Duration = Duration::from_millis(10);
+/// Maximum of this extra time, which is reached after about 30 missed answers.
+const MAX_MISS_WAIT: Duration = Duration::from_millis(1_500);
+
+/// The purpose of a call to a worker.
 #[derive(Clone, Debug)]
 pub(super) enum CallPurpose {
-    /// A look, and the number of the last end that it acknowledges; 0 for none.
+    /// A poll. `acknowledges` is the number of the last end that it acknowledges, or 0.
     Poll {
         acknowledges: u64,
     },
@@ -87,13 +90,13 @@
     pub(super) worker: Incarnation,
     pub(super) purpose: CallPurpose,
     pub(super) sent_at: CoreTime,
-    /// Who carries it, if it is carried.
+    /// The peer that sends the call for this leader, if any.
     pub(super) proxy: Option<PeerAddress>,
-    /// When it has no answer, if none was heard of.
+    /// When the call counts as unanswered.
     pub(super) limit: CoreTime,
 }
 
-/// A request about a job that the leader does not know, until it is sure that it leads.
+/// A request about an unknown job, held until this instance has confirmed that it leads.
 #[derive(Debug)]
 pub(super) struct UnknownJobRequest {
     pub(super) at: CoreTime,
@@ -108,71 +111,71 @@
     pub(super) epoch: u64,
     pub(super) row_version: u64,
     pub(super) began_at: CoreTime,
-    /// Whether the whole ledger has been read.
+    /// Whether the entire ledger has been read.
     pub(super) loaded: bool,
-    /// When a page of the ledger that did not come is asked for anew.
+    /// When to retry reading a page of the ledger after a failed read.
     pub(super) load_at: Option<CoreTime>,
-    /// Whether the workers' entries have been read.
+    /// Whether all workers' entries have been read.
     pub(super) workers_known: bool,
-    /// When a request was sent that the table answered and by which the own row stood.
+    /// Send time of the latest request whose answer showed that this leader's row was still in place.
     pub(super) confirmed_at: CoreTime,
-    /// When this instance last went on after it had stood still for so long that another may lead.
-    woke_at: CoreTime,
-    /// Since when something was asked of the table without any answer coming.
+    /// When this instance last resumed after a pause so long that another instance may lead.
+    resumed_at: CoreTime,
+    /// Since when requests to the table have been without any answer.
     pub(super) unanswered_since: Option<CoreTime>,
-    /// Since when peers are told that the table leaves requests unanswered.
+    /// Since when the heartbeats have reported that the table does not answer.
     pub(super) trouble_since: Option<CoreTime>,
     pub(super) confirming: Option<CoreTime>,
     pub(super) next_confirm: CoreTime,
-    /// Since when the table has turned all writes away, while none is on its way.
+    /// Since when the table has refused all writes, with none in flight.
     pub(super) unavailable_since: Option<CoreTime>,
     pub(super) confirm_waiting: Vec<UnknownJobRequest>,
     pub(super) sequence: u64,
     pub(super) pending: VecDeque<Proposal>,
     pub(super) flight: Option<InFlightCommit>,
     pub(super) next_commit_at: CoreTime,
-    /// Time that a write takes, lately.
+    /// Moving average of the time that a write takes.
     pub(super) commit_time: Duration,
-    /// What the last write took, and when it was answered.
+    /// Duration of the last write, and when it was answered.
     last_commit: Option<(Duration, CoreTime)>,
-    /// Time from a proposal of a start to its order, lately.
-    order_wait: Duration,
+    /// Moving average of the time from the proposal of a start to its order.
+    order_delay: Duration,
     pub(super) uncommitted: BTreeMap<JobId, u32>,
-    /// Open jobs of which a worker has told that a task began.
+    /// Open jobs for which a worker has reported that a task started.
     pub(super) begun: BTreeSet<JobId>,
-    /// Suspects that have a worker to themselves, with that worker.
+    /// Suspects in trial runs, and the worker process that each was sent to.
     pub(super) trials: BTreeMap<TaskKey, Incarnation>,
-    /// Workers that were lost lately, but for those whose end is held against a task.
+    /// Workers lost recently, except those whose end counts against a task.
     pub(super) worker_losses: Vec<WorkerLoss>,
-    /// How often a task was stopped because its run was overdue.
+    /// How often each task was stopped because its run was overdue.
     pub(super) moves: BTreeMap<TaskKey, u32>,
-    /// Since when steps have found no room for all their tasks.
+    /// Since when steps have waited for capacity for all of their tasks.
     pub(super) capacity_waits: BTreeMap<StepKey, CoreTime>,
-    /// When room is planned again for steps for which none could be.
+    /// When to plan capacity again for steps for which no plan was found.
     pub(super) plan_pauses: BTreeMap<StepKey, CoreTime>,
-    /// Room that is kept for steps that wait for it.
+    /// Capacity claimed for steps that wait for it.
     pub(super) capacity_claims: BTreeMap<StepKey, CapacityClaim>,
-    /// How often a task was stopped to make room.
+    /// How often each task was stopped to reclaim its capacity.
     pub(super) stops: BTreeMap<TaskKey, u32>,
-    /// Jobs that are over, of which it is not kept yet.
+    /// Jobs whose end is not committed yet.
     pub(super) ending: BTreeSet<JobId>,
     pub(super) worker_states: WorkerMap,
-    /// What is told of tasks that do not run though they did.
+    /// Reporting on tasks that are not running although they ran before.
     pub(super) wait_tracker: WaitTracker,
     pub(super) calls: BTreeMap<Ticket, OpenCall>,
-    /// Time that the way to a carrier and back takes, as heartbeats and their echoes tell.
+    /// Round-trip time to a proxy, measured by heartbeats and their echoes.
     pub(super) round_trip_time: Duration,
-    /// Calls by the time at which they have no answer.
+    /// Open calls, ordered by the time at which they count as unanswered.
     pub(super) call_deadlines: BTreeSet<(CoreTime, Ticket)>,
     pub(super) proxies: ProxyList,
-    /// Time that workers take to answer an order, lately; it rises quickly and falls slowly.
+    /// Moving average of the time in which workers answer orders. It rises quickly and falls slowly.
     answer_time: Duration,
-    /// Time for which answers are waited for longer, since some were missed.
-    missed_time: Duration,
-    /// Share of answers that were missed lately, in thousandths.
+    /// Extra time to wait for answers because many were missed.
+    miss_wait: Duration,
+    /// Moving average of the share of missed answers, in thousandths.
     missed_permille: u32,
     pub(super) waiting: BTreeMap<StepKey, WaitingStep>,
-    /// What customers have running, as of the last placement.
+    /// What each customer has running, as of the last placement.
     pub(super) usage: CustomerUsage,
     /// Steps that waited for their customer's limit at the last placement.
     pub(super) waiting_for_limit: BTreeMap<StepKey, LimitStatus>,
@@ -180,29 +183,29 @@
     pub(super) dirty_jobs: BTreeSet<JobId>,
     pub(super) due: BTreeSet<(WallMillis, JobId, u32)>,
     pub(super) advice: BTreeMap<StepKey, StepAdvice>,
-    /// Steps of open jobs whose tasks last, one by one.
+    /// Steps of open jobs with long-running tasks, gangs excluded.
     pub(super) lasting_steps: BTreeSet<StepKey>,
-    /// Those of them with tasks that are away or soon will be.
+    /// Those of `lasting_steps` with tasks that are down or soon will be.
     pub(super) restarting: BTreeMap<StepKey, RestartingStep>,
     pub(super) next_restart_preparation: CoreTime,
-    /// Logarithm of measured to guessed run time by queue, on average.
+    /// Moving average, by queue, of the logarithm of measured to estimated run time.
     pub(super) estimate_error: BTreeMap<String, f64>,
     pub(super) adviser_busy: BTreeMap<PeerAddress, CoreTime>,
-    /// Whether room, permits or waiting steps changed since the last placement.
+    /// Whether free capacity, permits or waiting steps have changed since the last placement.
     pub(super) placement_due: bool,
     pub(super) place_at: CoreTime,
-    /// When all workers are gone through again for looks and for orders that are due.
+    /// When to scan all workers again for due polls and due orders.
     pub(super) next_poll_scan: CoreTime,
     pub(super) next_order_scan: CoreTime,
-    /// Runs to which an order is due, by the time at which it is.
+    /// Runs that need an order, by the time at which it is due.
     due_orders: BTreeSet<(CoreTime, WorkerId, TaskKey)>,
-    /// When a peer was asked to lead, while this leader goes on.
+    /// When a peer was asked to lead, while this instance continues to lead.
     pub(super) handover_sent_at: Option<CoreTime>,
     pub(super) next_forget: CoreTime,
     pub(super) next_measurements: CoreTime,
     pub(super) load: LoadLimit,
     pub(super) next_advice_scan: CoreTime,
-    /// Jobs of each queue that are not known to have begun, as counted lately, and when.
+    /// For each queue, the number of jobs not known to have started, and when it was counted.
     pub(super) waiting_counts: BTreeMap<String, (CoreTime, u64)>,
 }
 
@@ -216,7 +219,7 @@
             load_at: None,
             workers_known: false,
             confirmed_at: now,
-            woke_at: CoreTime::ZERO,
+            resumed_at: CoreTime::ZERO,
             unanswered_since: None,
             trouble_since: None,
             confirming: None,
@@ -229,7 +232,7 @@
             next_commit_at: now,
             commit_time: Duration::ZERO,
             last_commit: None,
-            order_wait: Duration::ZERO,
+            order_delay: Duration::ZERO,
             uncommitted: BTreeMap::new(),
             begun: BTreeSet::new(),
             trials: BTreeMap::new(),
@@ -247,7 +250,7 @@
             call_deadlines: BTreeSet::new(),
             proxies: ProxyList::default(),
             answer_time: Duration::ZERO,
-            missed_time: Duration::ZERO,
+            miss_wait: Duration::ZERO,
             missed_permille: 0,
             waiting: BTreeMap::new(),
             usage: CustomerUsage::default(),
@@ -275,17 +278,17 @@
         }
     }
 
-    /// A run that a worker has, or is about to have.
+    /// Returns a run that is on a worker or about to be ordered there.
     pub(super) fn live_run(&mut self, worker: &WorkerId, task: &TaskKey) -> Option<&mut LiveRun> {
         self.worker_states.get_mut(worker)?.runs.get_mut(task)
     }
 
-    /// Notes that an order to a run is due at a time.
+    /// Schedules an order for a run.
     pub(super) fn have_order_due(&mut self, at: CoreTime, worker: &WorkerId, task: TaskKey) {
         self.due_orders.insert((at, worker.clone(), task));
     }
 
-    /// Takes the runs to which an order is due now.
+    /// Removes and returns the runs that need an order now.
     pub(super) fn take_due_orders(&mut self, now: CoreTime) -> Vec<(WorkerId, TaskKey)> {
         let mut due = Vec::new();
         while self.due_orders.first().is_some_and(|(at, ..)| *at <= now) {
@@ -298,10 +301,10 @@
         due
     }
 
-    /// Time between two goes through all workers: a small share of the processor, whatever their
-    /// number.
+    /// Returns the interval between two scans of all workers. It grows with their number, so that scans
+    /// take a small share of the CPU.
     pub(super) fn scan_interval(&self) -> Duration {
-        (SCAN_EACH * self.worker_states.len() as u32).min(SCAN_MOST)
+        (SCAN_INTERVAL_PER_WORKER * self.worker_states.len() as u32).min(MAX_SCAN_INTERVAL)
     }
 
     pub(super) fn waiting_tasks(&self) -> u64 {
@@ -318,51 +321,56 @@
             .sum()
     }
 
-    /// Tells whether something is to be kept or placed soon.
+    /// Returns whether there are events to commit or tasks to place soon.
     pub(super) fn is_busy(&self) -> bool {
         self.placement_due || (self.flight.is_none() && !self.pending.is_empty())
     }
 
-    /// The table has answered.
+    /// Records that the table has answered a request.
     pub(super) fn note_store_answer(&mut self) {
         self.unanswered_since = None;
     }
 
-    /// Time has passed in which nothing was done: the machine was suspended or frozen.
+    /// Records the time since the previous event. A long gap means that the machine was suspended or
+    /// the process was frozen.
     pub(super) fn note_pause(&mut self, pause: Duration, now: CoreTime) {
-        if pause > STOOD_STILL {
-            self.woke_at = now;
+        if pause > FREEZE_THRESHOLD {
+            self.resumed_at = now;
             self.next_confirm = now;
         }
     }
 
-    /// Whether it is not known yet that it still leads after it stood still.
+    /// Returns whether this instance has not yet confirmed its leadership since it was last frozen.
     pub(super) fn must_confirm_lead(&self) -> bool {
-        self.confirmed_at < self.woke_at
+        self.confirmed_at < self.resumed_at
     }
 
-    /// A write was answered after so long.
+    /// Records the duration of an answered write.
     pub(super) fn note_commit(&mut self, took: Duration, now: CoreTime) {
         self.commit_time = (self.commit_time + took) / 2;
         self.last_commit = Some((took, now));
     }
 
-    /// Most by which the own link can be behind, by the last write: its request and its answer went
-    /// over that link. Where peers read the ledger on thin links of their own, their echoes wait behind
-    /// it for many seconds; taken for the leader's link, they had it refuse 97 of 100 new jobs 15 s after
-    /// all instances were back.
+    /// Returns an upper bound on the delay of this instance's link: the duration of the last write,
+    /// whose request and answer used that link.
+    ///
+    /// The round trips of heartbeats alone are not enough. Peers that read the ledger over slow links
+    /// echo heartbeats many seconds late. Taken as the delay of the leader's link, this made the leader
+    /// refuse 97 of 100 new jobs 15 s after all instances were back.
     pub(super) fn link_delay(&self, now: CoreTime) -> Duration {
-        let lately = |at: CoreTime| now.saturating_sub(at) < COMMIT_TELLS;
-        let known = self.last_commit.filter(|(_, at)| lately(*at));
+        let recently = |at: CoreTime| now.saturating_sub(at) < LINK_DELAY_VALIDITY;
+        let known = self.last_commit.filter(|(_, at)| recently(*at));
         known.map_or(Duration::MAX, |(took, _)| took)
     }
 
-    /// Time until a start that is proposed now is ordered, as the last ones took.
+    /// Returns the estimated time from the proposal of a start to its order, based on recent starts.
     pub(super) fn time_to_commit(&self) -> Duration {
-        self.order_wait.max(self.commit_time).min(KEEP_LIMIT)
+        self.order_delay
+            .max(self.commit_time)
+            .min(MAX_TIME_TO_COMMIT)
     }
 
-    /// A worker answered an order after so long.
+    /// Records the time in which a worker answered an order.
     pub(super) fn note_answer(&mut self, took: Duration) {
         self.answer_time = if took > self.answer_time {
             (self.answer_time * 3 + took) / 4
@@ -371,49 +379,49 @@
         };
     }
 
-    /// A worker that was heard lately has not answered in the time that answers take: where none
-    /// comes any more, they take longer than was thought.
+    /// Records that a worker with recent contact has missed the time limit for an answer. If most
+    /// answers are missed, they are late rather than lost, and the limit rises.
     pub(super) fn note_miss(&mut self) {
-        self.missed_permille += (1_000 - self.missed_permille) / MISS_MEMORY;
-        if self.missed_permille > MISSED_MOSTLY {
-            let more = (self.missed_time + MISS_STEP) * 9 / 8;
-            self.missed_time = more.min(MISS_MOST);
+        self.missed_permille += (1_000 - self.missed_permille) / MISS_WINDOW;
+        if self.missed_permille > MOSTLY_MISSED_PERMILLE {
+            let more = (self.miss_wait + MISS_WAIT_STEP) * 9 / 8;
+            self.miss_wait = more.min(MAX_MISS_WAIT);
         }
     }
 
-    /// A worker has answered in time.
+    /// Records that a worker has answered within the time limit.
     pub(super) fn note_in_time(&mut self) {
-        self.missed_permille -= self.missed_permille / MISS_MEMORY;
-        self.missed_time = self.missed_time * 15 / 16;
+        self.missed_permille -= self.missed_permille / MISS_WINDOW;
+        self.miss_wait = self.miss_wait * 15 / 16;
     }
 
-    /// Time after which an answer that should come at once is taken for lost; beyond `most` only by
-    /// what was missed lately.
+    /// Returns how long to wait for an answer that is due at once. It exceeds `most` only by the extra
+    /// time for recently missed answers.
     pub(super) fn answer_limit(&self, most: Duration) -> Duration {
-        (self.answer_time * ANSWER_FACTOR).clamp(ANSWER_LEAST, most) + self.missed_time
+        (self.answer_time * ANSWER_LIMIT_FACTOR).clamp(MIN_ANSWER_LIMIT, most) + self.miss_wait
     }
 
-    /// A start was ordered so long after it was proposed.
+    /// Records the time from the proposal of a start to its order.
     pub(super) fn note_order_delay(&mut self, wait: Duration) {
-        self.order_wait = (self.order_wait * 3 + wait) / 4;
+        self.order_delay = (self.order_delay * 3 + wait) / 4;
     }
 
-    /// The most that is free of each kind of room, on whichever workers.
+    /// Returns, for each kind of resource, the largest free amount on any worker.
     pub(super) fn max_free(&self) -> TaskSize {
         let free = self
             .worker_states
             .values()
             .map(|state| state.entry.room.minus(&state.used));
-        free.fold(TaskSize::default(), |most, room| TaskSize {
-            millicores: most.millicores.max(room.millicores),
-            memory_mib: most.memory_mib.max(room.memory_mib),
-            accelerators: most.accelerators.max(room.accelerators),
+        free.fold(TaskSize::default(), |most, free| TaskSize {
+            millicores: most.millicores.max(free.millicores),
+            memory_mib: most.memory_mib.max(free.memory_mib),
+            accelerators: most.accelerators.max(free.accelerators),
         })
     }
 }
 
 impl EntryCore {
-    /// Does what the leader has to do now; nothing on an instance that does not lead.
+    /// Runs the leader's periodic work. Does nothing on an instance that does not lead.
     pub(super) fn run_lead(&mut self) {
         let (now, lag) = (self.now, self.lag);
         let Some(lead) = self.lead.as_deref_mut() else {
@@ -422,7 +430,7 @@
         lead.load.note(now, lag);
         self.run_confirm();
         self.run_loading();
-        // Ends must not be taken before the jobs that they belong to are known.
+        // Ended runs can be handled only once their jobs are known.
         let loaded = self.lead.as_ref().is_some_and(|lead| lead.loaded);
         if loaded || !self.enforces(SiteGuard::LedgerFirst) {
             self.run_proxies();
@@ -438,7 +446,7 @@
         self.forget_ended();
     }
 
-    /// Opens the times of repeated jobs that have fallen due.
+    /// Opens the repetitions of repeating jobs that have become due.
     fn open_due_times(&mut self) {
         let early = self.settings.early.as_millis() as u64 / 2;
         let now = self.wall + early;
@@ -452,7 +460,7 @@
             lead.due.pop_first();
             if let Some(record) = self.book.job_mut(job) {
                 if record.has_many_times() {
-                    lead.due.insert((now + CROWDED_PAUSE_MS, job, time));
+                    lead.due.insert((now + OPEN_TIMES_PAUSE_MS, job, time));
                     continue;
                 }
                 record.open_time(time);
@@ -472,14 +480,15 @@
         if self.now < lead.next_forget {
             return;
         }
-        lead.next_forget = self.now + FORGET_EVERY;
+        lead.next_forget = self.now + FORGET_INTERVAL;
         self.forget_stopped_leases();
         self.log_dropped_lines();
         let Some(lead) = self.lead.as_deref_mut() else {
             return;
         };
-        let kept = self.settings.status_time.as_millis() as u64 * 2;
-        self.book.forget_ended(self.wall.saturating_sub(kept));
+        let retention_ms = self.settings.status_time.as_millis() as u64 * 2;
+        self.book
+            .forget_ended(self.wall.saturating_sub(retention_ms));
         let book = &self.book;
         let open = |job: JobId| {
             book.job(job)
@@ -496,7 +505,7 @@
         lead.waiting_counts.clear();
     }
 
-    /// Prepares the times of a job that repeats.
+    /// Schedules the next repetition of a repeating job.
     pub(super) fn schedule_times(&mut self, job: JobId) {
         let Some(lead) = self.lead.as_deref_mut() else {
             return;
--- a/crates/bankvalve_queue/src/core/live_run.rs
+++ b/crates/bankvalve_queue/src/core/live_run.rs
@@ -1,4 +1,4 @@
-//! A run that a worker has, or is about to have, as its leader sees it.
+//! A run that is on a worker or about to be ordered there, as known to the leader.
 
 use std::time::Duration;
 
@@ -8,26 +8,26 @@
 use crate::job::{StepSpec, TaskSize};
 use crate::ledger::{CrashEvidence, EndKind};
 
-/// Age of a run from which on its worker's end is not its doing, if another there is newer.
-const SETTLED_LIFE: Duration = Duration::from_millis(1_500);
+/// Age from which a run is not suspected of having ended its worker, if a newer run is there.
+const SETTLED_AGE: Duration = Duration::from_millis(1_500);
 
-/// Where a run stands.
+/// Phase of a run.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) enum RunPhase {
-    /// It was found in the ledger; the worker's lists will tell.
+    /// Found in the ledger after this leader began. The worker's run lists will show whether it exists.
     Adopted,
-    /// It is being kept; nothing was sent yet.
+    /// The start is being committed; no order was sent yet.
     Proposed,
     /// An order was sent.
     Ordered,
-    /// The worker has it.
+    /// The worker has confirmed it.
     Running { since: CoreTime },
-    /// A stop was sent, and confirmed at a time.
+    /// A stop was sent; `confirmed` is when the worker confirmed it.
     Stopping { confirmed: Option<CoreTime> },
 }
 
 impl RunPhase {
-    /// Word for logs.
+    /// Returns the word for logs.
     fn as_str(&self) -> &'static str {
         match self {
             RunPhase::Adopted => "adopted",
@@ -39,13 +39,13 @@
     }
 }
 
-/// What a run does to others on its worker.
+/// How a run affects other runs on its worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum RunLoad {
     Plain,
-    /// It serves users of its own, whose waits must stay short.
+    /// Serves users of its own, with a latency target.
     LatencySensitive,
-    /// It uses what others leave, and disturbs those that serve.
+    /// Uses only leftover CPU, and slows down runs with a latency target.
     BestEffort,
 }
 
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Tells whether two loads must not meet on one worker.
+    /// Returns whether two loads must not share a worker.
     pub(super) fn conflicts_with(self, other: RunLoad) -> bool {
         matches!(
             (self, other),
@@ -76,46 +76,47 @@
     pub(super) run: RunId,
     pub(super) load: RunLoad,
     pub(super) resources: TaskSize,
-    /// What counts against its customer's limit: also the processor of a task that fills, and no
-    /// more of a task that has its worker to itself.
+    /// Resources that count against the customer's limit. Unlike `resources`, they include the CPU of a
+    /// best-effort task, and never the entire worker of an isolated task.
     pub(super) size: TaskSize,
     pub(super) customer: Option<CustomerName>,
     pub(super) phase: RunPhase,
     pub(super) began: CoreTime,
     pub(super) estimate: Duration,
-    /// Copies of the order that have no answer and may be carried out late.
+    /// Copies of the order that had no answer and may still be executed.
     pub(super) copies: u32,
     pub(super) busy: bool,
     pub(super) next_at: CoreTime,
     pub(super) tries: u32,
     pub(super) saved: String,
-    /// Whether its begin is known, so that its time can be measured.
+    /// Whether the start time is known, so that the run time can be measured.
     pub(super) measured: bool,
     pub(super) permit: Option<String>,
-    /// Priority of its queue; 0 comes first.
+    /// Priority of its queue; 0 is the highest.
     pub(super) priority: u32,
-    /// Whether its job is of a queue that comes first.
+    /// Whether its queue has the highest priority.
     pub(super) urgent: bool,
-    /// Whether a stop saves its progress.
+    /// Whether it saves its progress when it is stopped.
     pub(super) saves: bool,
     /// Whether it runs until its job is cancelled.
     pub(super) lasting: bool,
-    /// Whether it lasts or works with others, so that it is not stopped to end sooner.
+    /// Whether it is long-running or part of a gang, so that it is not stopped to run elsewhere.
     pub(super) must_not_move: bool,
-    /// How far it has come, once a list has told.
+    /// Its progress, once the worker has reported it.
     pub(super) progress: Option<RunProgress>,
-    /// When the first order was sent by this leader.
+    /// When this leader sent the first order.
     pub(super) ordered_at: Option<CoreTime>,
     /// Whether the worker has answered an order for it.
     pub(super) answered: bool,
-    /// When a list last told that it runs.
+    /// When the worker last reported it as running.
     pub(super) listed_at: Option<CoreTime>,
-    /// What was seen of its worker's end, once that is kept.
+    /// Evidence about the worker's end, once proposed to the ledger.
     pub(super) crash: Option<CrashEvidence>,
-    /// How it ended with an earlier process of its worker, if the present one does not have it.
+    /// How it ended with an earlier process of its worker, in case the current process does not have
+    /// it.
     pub(super) ended_as: Option<EndKind>,
-    /// Whether workers ended under its task, so that it has its worker to itself; its room is the
-    /// whole worker then.
+    /// Whether it runs isolated because workers ended under its task. Its resources are then the entire
+    /// worker.
     pub(super) on_trial: bool,
 }
 
@@ -152,8 +153,8 @@
         }
     }
 
-    /// Tells whether a copy of its order may be on its way. Of one that is being stopped it is not known
-    /// whether its start had an answer.
+    /// Returns whether a copy of its order may still arrive. For a run that is being stopped this is
+    /// always assumed, because it is not recorded whether the start was answered.
     pub(super) fn may_arrive_late(&self) -> bool {
         match self.phase {
             RunPhase::Proposed | RunPhase::Adopted => false,
@@ -163,7 +164,8 @@
         }
     }
 
-    /// The run, to be stopped in the next process of its worker; `ended_as` is how it ended with this one.
+    /// Returns the run, to be stopped in the next process of its worker. `ended_as` is how it ended
+    /// with the current process.
     pub(super) fn stopped_after(self, ended_as: EndKind, now: CoreTime) -> Self {
         Self {
             phase: RunPhase::Stopping { confirmed: None },
@@ -173,7 +175,8 @@
         }
     }
 
-    /// The run, with how it ended if the next process of its worker does not list it.
+    /// Returns the run with `ended_as`, which applies if the next process of its worker does not report
+    /// the run.
     pub(super) fn with_end_if_unlisted(self, ended_as: EndKind) -> Self {
         Self {
             ended_as: Some(ended_as),
@@ -181,12 +184,12 @@
         }
     }
 
-    /// Tells whether its begin was confirmed at a time or later.
+    /// Returns whether its start was confirmed at `at` or later.
     pub(super) fn is_running_since(&self, at: CoreTime) -> bool {
         matches!(self.phase, RunPhase::Running { since } if since >= at)
     }
 
-    /// Time for which it has surely run, as far as this leader was told.
+    /// Returns how long the run is known to have been running, by the worker's reports to this leader.
     pub(super) fn known_run_time(&self) -> Duration {
         match (&self.phase, self.listed_at) {
             (RunPhase::Running { since }, Some(at)) => at.saturating_sub(*since),
@@ -195,18 +198,19 @@
         }
     }
 
-    /// Whether it began so lately that it may be what ends its worker; of a run that was found in the
-    /// ledger, as far as is known.
+    /// Returns whether it started so recently that it may be the cause of its worker's end. For a run
+    /// found in the ledger, its age counts from when this leader began.
     pub(super) fn is_new(&self, at: CoreTime) -> bool {
-        at.saturating_sub(self.began) < SETTLED_LIFE
+        at.saturating_sub(self.began) < SETTLED_AGE
     }
 
-    /// Whether the worker has answered its order, or listed it.
+    /// Returns whether the worker has answered its order or reported it.
     pub(super) fn is_confirmed(&self) -> bool {
         self.answered || self.listed_at.is_some()
     }
 
-    /// Whether an order that may have arrived was sent: one that its worker's port refused has not.
+    /// Returns whether an order that may have arrived was sent. An order that the worker's port refused
+    /// has not arrived.
     pub(super) fn may_have_started(&self) -> bool {
         match self.phase {
             RunPhase::Proposed => false,
@@ -215,22 +219,25 @@
         }
     }
 
-    /// Whether a silent worker's lists may still tell of a good end: what lasts has none, and an order
-    /// without an answer, of a run that no list has named, may never have arrived.
+    /// Returns whether an unresponsive worker may still report success. A long-running task never
+    /// succeeds. An order without an answer, for a run that was never reported, may not have arrived.
     pub(super) fn may_report_success(&self) -> bool {
         let seen = self.phase != RunPhase::Ordered || self.listed_at.is_some();
         !self.lasting && seen
     }
 
-    /// For the log: where it stood, and for how long it was surely seen to run.
+    /// Returns a summary for the log: the phase, and how long the run was reported as running.
     pub(super) fn summary(&self, now: CoreTime) -> String {
         let age = now.saturating_sub(self.began);
         match self.listed_at {
             Some(at) => {
                 let seen = at.saturating_sub(self.began);
-                format!("{}, listed {seen:?} of {age:?}", self.phase.as_str())
+                format!(
+                    "{}, reported as running for {seen:?} of {age:?}",
+                    self.phase.as_str()
+                )
             }
-            None => format!("{}, never listed in {age:?}", self.phase.as_str()),
+            None => format!("{}, never reported in {age:?}", self.phase.as_str()),
         }
     }
 
--- a/crates/bankvalve_queue/src/core/mod.rs
+++ b/crates/bankvalve_queue/src/core/mod.rs
@@ -1,17 +1,21 @@
 //! The state machine of an entry instance.
 //!
-//! `members` hears peers, `standby` ranks them, `election` and `yielding`
-//! decide who leads, `commit`, `read_back`, `confirm` and `withdraw` keep the
-//! ledger, `callers` answers requests, `follower_reads` from a follower's book, `submissions` takes
-//! jobs up, `holds`, `reports`, `orders` and `overdue` deal with workers, `advice` asks the policy service, `placing`
-//! decides which task runs where, and `making_room` what gives way to it; `restarting` has
-//! both at hand for tasks that last. `sight`
-//! tells how the instance stands, `unheard` and `restarts` why tasks do not run that did.
-//! `incarnation` tells the processes of a worker apart.
-//! `former_leaders` and `stopped_leases` tell until when holds of leaders before may last.
-//! `table_watch` and `table_pull` have the operator's configuration, `denials` what is not in it.
-//! `customer_access` tells which jobs a customer may see, `customer_limits` what it may have running,
-//! `customer_shares` what comes after the others' jobs.
+//! - Membership and leadership: `members` handles heartbeats, `member_ranks` ranks the members, `election`
+//!   and `handover` decide who leads, `former_leaders` and `stopped_leases` bound how long leases of former
+//!   leaders can last, and `readiness` reports whether the instance is ready.
+//! - Ledger: `commit`, `read_back`, `lead_confirmation` and `job_withdrawal` write it; `follower` keeps a
+//!   follower's book up to date.
+//! - Callers: `callers` answers requests, `follower_reads` answers status requests from a follower's book,
+//!   and `submissions` accepts jobs. `customer_access` decides which jobs a customer may see,
+//!   `customer_limits` what it may have running, and `customer_shares` which jobs start after those of other
+//!   customers.
+//! - Workers: `lease_renewal`, `worker_reports`, `orders` and `overdue_runs` poll workers and start and stop
+//!   runs. `incarnation` tells the processes of a worker apart.
+//! - Placement: `placement` decides which task runs on which worker, `advice` queries the policy service, and
+//!   `capacity_reclaim` preempts runs. `restart_preparation` reserves capacity and permits for long-running
+//!   tasks. `lost_contact` and `restart_waits` report why tasks are not running.
+//! - Configuration: `table_watch` and `table_pull` fetch the operator's configuration, and `denials` handles
+//!   requests that it denies.
 
 mod advice;
 mod call_proxies;
--- a/crates/bankvalve_queue/src/core/worker_entries.rs
+++ b/crates/bankvalve_queue/src/core/worker_entries.rs
@@ -1,4 +1,4 @@
-//! The workers' own entries: who is there, and who leaves.
+//! The workers' own entries in the platform's table: which workers exist, and which ones leave.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -13,12 +13,14 @@
 use crate::store::WorkerRow;
 use crate::worker::WorkerEntry;
 
-/// Signs of an id that are logged of an entry which no worker of ours wrote.
-const LONGEST_ID: usize = 80;
-/// Part of a task's guessed time that is reckoned as left once the guess has passed, as a divisor.
-const OVERDUE_REST: u32 = 4;
+/// Maximum number of characters logged of the id of an unreadable entry, which may come from another
+/// program.
+const MAX_LOGGED_ID_CHARS: usize = 80;
+/// Divisor of a task's estimated time that gives its minimum remaining time. It applies once less is
+/// left of the estimate, or the estimate has passed.
+const MIN_REMAINING_DIVISOR: u32 = 4;
 
-/// A run that the ledger has on a worker.
+/// A run that the ledger has as placed on a worker.
 struct AdoptedRun {
     task: TaskKey,
     worker: WorkerId,
@@ -28,20 +30,20 @@
     customer: Option<CustomerName>,
 }
 
-/// A reading of all workers' entries, which comes in pages.
+/// A scan of all workers' entries, which arrive in pages.
 #[derive(Debug, Default)]
 pub(super) struct EntryScan {
-    /// Number of the reading, so that an answer to an earlier one is told apart.
+    /// Number of the scan, which tells apart the answers to an earlier scan.
     number: u64,
-    /// Version of the table as of the first page. What changes behind a page while the next ones are
-    /// read is in the feed from there on, and nowhere else.
+    /// Version of the table at the first page. A change to an entry of a page that was already read
+    /// appears only in the change feed after this version.
     version: Option<u64>,
-    /// Workers that its pages have named so far.
-    named: BTreeSet<WorkerId>,
+    /// Workers on the pages read so far.
+    listed_ids: BTreeSet<WorkerId>,
 }
 
 impl EntryScan {
-    /// Begins with the first page.
+    /// Starts a new scan at the first page.
     pub(super) fn begin(&mut self) {
         *self = Self {
             number: self.number + 1,
@@ -53,10 +55,11 @@
         self.number
     }
 
-    /// Notes what a page names, as of a version of the table.
+    /// Records the workers on a page, read at a version of the table.
     pub(super) fn note_page(&mut self, entries: &[(WorkerId, WorkerRow)], version: u64) {
         self.version.get_or_insert(version);
-        self.named.extend(entries.iter().map(|(id, _)| id.clone()));
+        self.listed_ids
+            .extend(entries.iter().map(|(id, _)| id.clone()));
     }
 }
 
@@ -66,19 +69,19 @@
         entries: Vec<(WorkerId, WorkerRow)>,
         full: bool,
     ) {
-        for (id, news) in entries {
+        for (id, row) in entries {
             if let Some(lead) = self.lead.as_deref_mut() {
                 lead.placement_due = true;
             }
-            match news {
-                WorkerRow::Entry(entry) => self.take_worker_entry(&id, entry, full),
+            match row {
+                WorkerRow::Entry(entry) => self.handle_worker_entry(&id, entry, full),
                 WorkerRow::Gone => self.unlist_worker(&id),
-                WorkerRow::Unusable(why) => self.pass_entry_over(&id, why),
+                WorkerRow::Unusable(why) => self.skip_unreadable_entry(&id, why),
             }
         }
     }
 
-    fn take_worker_entry(&mut self, id: &WorkerId, entry: WorkerEntry, full: bool) {
+    fn handle_worker_entry(&mut self, id: &WorkerId, entry: WorkerEntry, full: bool) {
         let now = self.now;
         let Some(lead) = self.lead.as_deref_mut() else {
             return;
@@ -100,9 +103,9 @@
         if let Some(slowness) = slowness.filter(|_| full) {
             state.start_slowness(*slowness);
         }
-        let notice = entry.leaving && !state.entry.leaving;
+        let leave_announced = entry.leaving && !state.entry.leaving;
         let shrunk = !state.entry.room.fits(&entry.room);
-        let rooms = (state.entry.room, entry.room);
+        let capacities = (state.entry.room, entry.room);
         state.service_in_use = self.services.contains(&entry.service);
         state.entry = entry;
         state.listed = true;
@@ -111,11 +114,11 @@
         if other_process {
             state.next_poll = now;
         }
-        if notice {
+        if leave_announced {
             self.begin_leaving(id);
         }
         if shrunk {
-            let detail = format!("{:?}, {:?} before", rooms.1, rooms.0);
+            let detail = format!("capacity {:?}, previously {:?}", capacities.1, capacities.0);
             self.log("workers", "shrunk", id.to_string(), detail);
         }
         if other_process {
@@ -123,7 +126,7 @@
         }
     }
 
-    /// Notes services whose workers are ours to call.
+    /// Adds services that a queue or an open job names, so that their workers are polled.
     pub(super) fn note_services_in_use(&mut self, services: impl IntoIterator<Item = String>) {
         let known = self.services.len();
         self.services.extend(services);
@@ -148,46 +151,46 @@
         self.log("workers", "unlisted", id.to_string(), String::new());
     }
 
-    /// An entry of which no worker can be made costs that entry alone: a worker that is known by it
-    /// gets no new work until it can be read again, and keeps what it runs.
-    fn pass_entry_over(&mut self, id: &WorkerId, why: &'static str) {
+    /// Skips an entry that cannot be decoded. A worker already known gets no new tasks until its entry
+    /// is readable again, and its runs continue.
+    fn skip_unreadable_entry(&mut self, id: &WorkerId, why: &'static str) {
         let lead = self.lead.as_deref_mut();
         if let Some(state) = lead.and_then(|lead| lead.worker_states.get_mut(id)) {
             state.entry_readable = false;
         }
         self.counters.count("worker_entries", "unusable");
         self.log_often("workers", "unusable", || {
-            let id: String = id.chars().take(LONGEST_ID).collect();
+            let id: String = id.chars().take(MAX_LOGGED_ID_CHARS).collect();
             (id, why.to_owned())
         });
     }
 
-    /// All entries have been read; returns the version from which on changes are to be asked for.
+    /// Ends a scan. Returns the table version after which to watch for changes.
     ///
-    /// A worker that is known and that no page has named has no entry any more: it went while the table
-    /// had forgotten its history, so that no change tells of it. Unlisted, it gets nothing new and keeps
-    /// what it runs, as it is looked at on; if it lives, its entry comes back with the next changes.
+    /// A known worker that was on no page no longer has an entry: it was removed while the table had
+    /// discarded its history, so no change reports the removal. Such a worker gets no new tasks, but it
+    /// is still polled and its runs continue. If it is alive, its entry reappears with later changes.
     pub(super) fn finish_entry_scan(&mut self) -> Option<u64> {
-        let reading = &mut self.entry_scan;
-        let version = reading.version.take();
-        let named = std::mem::take(&mut reading.named);
+        let scan = &mut self.entry_scan;
+        let version = scan.version.take();
+        let listed_ids = std::mem::take(&mut scan.listed_ids);
         let Some(lead) = self.lead.as_deref_mut() else {
             return version;
         };
         lead.workers_known = true;
         lead.placement_due = true;
-        let unnamed = lead
+        let removed = lead
             .worker_states
             .iter()
-            .filter(|(id, state)| state.listed && !named.contains(*id));
-        let unnamed: Vec<WorkerId> = unnamed.map(|(id, _)| id.clone()).collect();
-        for id in unnamed {
+            .filter(|(id, state)| state.listed && !listed_ids.contains(*id));
+        let removed: Vec<WorkerId> = removed.map(|(id, _)| id.clone()).collect();
+        for id in removed {
             self.unlist_worker(&id);
         }
         version
     }
 
-    /// Fills the seats with the runs that the ledger knows, after a takeover.
+    /// Adds the runs in the ledger to the worker states, after this instance became leader.
     pub(super) fn adopt_runs(&mut self) {
         let now = self.now;
         let mut placed: Vec<AdoptedRun> = Vec::new();
@@ -229,7 +232,7 @@
         let services: Vec<String> = jobs.map(|job| job.terms.service.clone()).collect();
         self.note_services_in_use(services);
         let detail = format!(
-            "{} jobs open, {} runs, batch {}",
+            "{} open jobs, {} runs, last batch {}",
             open.len(),
             placed.len(),
             self.applied
@@ -258,7 +261,7 @@
         self.resend_requests();
     }
 
-    /// Moves tasks away that would not end before their worker leaves.
+    /// Stops the runs that would not end before their worker leaves.
     fn begin_leaving(&mut self, id: &WorkerId) {
         let now = self.now;
         let Some(lead) = self.lead.as_deref() else {
@@ -267,31 +270,31 @@
         let Some(state) = lead.worker_states.get(id) else {
             return;
         };
-        let left = Duration::from_millis(state.entry.remaining_ms.unwrap_or(u64::MAX / 2_000));
-        let too_long = |live: &LiveRun| match live.phase {
+        let time_left = Duration::from_millis(state.entry.remaining_ms.unwrap_or(u64::MAX / 2_000));
+        let outlasts_worker = |live: &LiveRun| match live.phase {
             RunPhase::Running { since } => {
                 let ran = now.saturating_sub(since);
-                let rest = live
+                let remaining = live
                     .estimate
                     .saturating_sub(ran)
-                    .max(live.estimate / OVERDUE_REST);
-                rest > left
+                    .max(live.estimate / MIN_REMAINING_DIVISOR);
+                remaining > time_left
             }
             _ => false,
         };
-        let moved: Vec<TaskKey> = state
+        let to_stop: Vec<TaskKey> = state
             .runs
             .iter()
-            .filter(|(_, live)| too_long(live))
+            .filter(|(_, live)| outlasts_worker(live))
             .map(|(task, _)| *task)
             .collect();
         let detail = format!(
-            "{left:?} left, {} runs, {} moved",
+            "leaves in {time_left:?}, {} runs, {} of them stopped",
             state.runs.len(),
-            moved.len()
+            to_stop.len()
         );
         self.log("workers", "leaving", id.to_string(), detail);
-        for task in moved {
+        for task in to_stop {
             self.begin_stop_run(id, task);
         }
     }
--- a/crates/bankvalve_queue/src/core/worker_map.rs
+++ b/crates/bankvalve_queue/src/core/worker_map.rs
@@ -1,7 +1,7 @@
-//! The leader's workers by id.
+//! The leader's worker states by worker id.
 //!
-//! A step of a leader finds workers a dozen times. In a tree of 1,100 texts each look-up compares
-//! ten of them, which took an eighth of its processor; here it hashes one.
+//! Each step of a leader looks up workers a dozen times. In a `BTreeMap` of 1,100 string ids a lookup
+//! compares ten strings, which took an eighth of the leader's CPU. Here a lookup hashes one string.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -9,14 +9,14 @@
 use super::worker_state::WorkerState;
 use crate::ids::WorkerId;
 
-/// Workers by id, gone through in the order of their ids.
+/// Worker states by worker id, iterated in the order of the ids.
 #[derive(Debug, Default)]
 pub(super) struct WorkerMap {
-    places: HashMap<WorkerId, usize>,
+    slots: HashMap<WorkerId, usize>,
     order: BTreeMap<WorkerId, usize>,
     worker_states: Vec<Option<WorkerState>>,
-    free: Vec<usize>,
-    /// Number of the last incarnation that was begun.
+    free_slots: Vec<usize>,
+    /// Number of the most recently added incarnation.
     last_number: u64,
 }
 
@@ -26,29 +26,30 @@
     }
 
     pub(super) fn get(&self, id: &WorkerId) -> Option<&WorkerState> {
-        let place = *self.places.get(id)?;
-        self.worker_states[place].as_ref()
+        let slot = *self.slots.get(id)?;
+        self.worker_states[slot].as_ref()
     }
 
     pub(super) fn get_mut(&mut self, id: &WorkerId) -> Option<&mut WorkerState> {
-        let place = *self.places.get(id)?;
-        self.worker_states[place].as_mut()
+        let slot = *self.slots.get(id)?;
+        self.worker_states[slot].as_mut()
     }
 
-    /// The process of a worker that is known now.
+    /// Returns the current incarnation of a worker.
     pub(super) fn incarnation_of(&self, id: &WorkerId) -> Option<Incarnation> {
         let number = self.get(id)?.number;
         let worker = id.clone();
         Some(Incarnation { worker, number })
     }
 
-    /// What is known of a process, unless another has followed it or its worker is forgotten.
+    /// Returns the state of an incarnation, or `None` if another one has replaced it or the worker was
+    /// removed.
     pub(super) fn get_incarnation(&self, incarnation: &Incarnation) -> Option<&WorkerState> {
         let state = self.get(&incarnation.worker)?;
         (state.number == incarnation.number).then_some(state)
     }
 
-    /// The same, to change it.
+    /// Returns the mutable state of an incarnation, as [`get_incarnation`](Self::get_incarnation) does.
     pub(super) fn get_incarnation_mut(
         &mut self,
         incarnation: &Incarnation,
@@ -57,39 +58,39 @@
         (state.number == incarnation.number).then_some(state)
     }
 
-    /// Begins an incarnation of a worker, in place of the one before.
+    /// Adds a new incarnation of a worker, replacing the previous one.
     pub(super) fn insert(&mut self, id: WorkerId, mut state: WorkerState) {
-        let place = match self.places.get(&id) {
-            Some(place) => *place,
-            None => self.new_place(id),
+        let slot = match self.slots.get(&id) {
+            Some(slot) => *slot,
+            None => self.new_slot(id),
         };
         self.last_number += 1;
         state.number = self.last_number;
-        self.worker_states[place] = Some(state);
+        self.worker_states[slot] = Some(state);
     }
 
-    fn new_place(&mut self, id: WorkerId) -> usize {
-        let place = self.free.pop().unwrap_or(self.worker_states.len());
-        if place == self.worker_states.len() {
+    fn new_slot(&mut self, id: WorkerId) -> usize {
+        let slot = self.free_slots.pop().unwrap_or(self.worker_states.len());
+        if slot == self.worker_states.len() {
             self.worker_states.push(None);
         }
-        self.places.insert(id.clone(), place);
-        self.order.insert(id, place);
-        place
+        self.slots.insert(id.clone(), slot);
+        self.order.insert(id, slot);
+        slot
     }
 
-    /// The worker of an id, made if it is not there.
+    /// Returns the state of a worker, and creates it if it does not exist.
     pub(super) fn get_or_insert_with(
         &mut self,
         id: WorkerId,
         make: impl FnOnce() -> WorkerState,
     ) -> &mut WorkerState {
-        let place = match self.places.get(&id) {
-            Some(place) => *place,
-            None => self.new_place(id),
+        let slot = match self.slots.get(&id) {
+            Some(slot) => *slot,
+            None => self.new_slot(id),
         };
         let last_number = &mut self.last_number;
-        self.worker_states[place].get_or_insert_with(|| {
+        self.worker_states[slot].get_or_insert_with(|| {
             *last_number += 1;
             let mut state = make();
             state.number = *last_number;
@@ -98,27 +99,27 @@
     }
 
     pub(super) fn remove(&mut self, id: &WorkerId) {
-        if let Some(place) = self.places.remove(id) {
+        if let Some(slot) = self.slots.remove(id) {
             self.order.remove(id);
-            self.worker_states[place] = None;
-            self.free.push(place);
+            self.worker_states[slot] = None;
+            self.free_slots.push(slot);
         }
     }
 
-    /// All workers in the order of their ids.
+    /// Returns all workers in the order of their ids.
     pub(super) fn iter(&self) -> impl Iterator<Item = (&WorkerId, &WorkerState)> {
         let worker_states = &self.worker_states;
         self.order
             .iter()
-            .filter_map(|(id, place)| Some((id, worker_states[*place].as_ref()?)))
+            .filter_map(|(id, slot)| Some((id, worker_states[*slot].as_ref()?)))
     }
 
-    /// All workers in no order that means anything.
+    /// Returns all worker states in arbitrary order.
     pub(super) fn values(&self) -> impl Iterator<Item = &WorkerState> + Clone {
         self.worker_states.iter().flatten()
     }
 
-    /// The same, to change them.
+    /// Returns all worker states, mutable, in arbitrary order.
     pub(super) fn values_mut(&mut self) -> impl Iterator<Item = &mut WorkerState> {
         self.worker_states.iter_mut().flatten()
     }
--- a/crates/bankvalve_queue/src/core/worker_state.rs
+++ b/crates/bankvalve_queue/src/core/worker_state.rs
@@ -1,4 +1,4 @@
-//! A worker as its leader sees it: room, clock, hold and runs.
+//! What the leader knows about one worker process: capacity, clock, lease and runs.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -10,52 +10,53 @@
 use crate::peer::PeerAddress;
 use crate::worker::{ProcessStart, WorkerEntry};
 
-/// A worker that was heard so lately gets work.
-const HEARD_LATELY: Duration = Duration::from_millis(1_300);
-/// Silence from which on it is asked whether a worker's hold is over.
+/// A worker gets new tasks only if its last contact is more recent than this.
+const RECENT_CONTACT: Duration = Duration::from_millis(1_300);
+/// Time without contact after which a worker counts as unresponsive and its lease is checked for
+/// expiry.
 pub(super) const UNRESPONSIVE_AFTER: Duration = Duration::from_millis(1_300);
-/// Time for the way of a look and a slow worker, beyond the wait that the look asks for.
+/// Time allowed for the round trip of a poll and a slow worker, beyond the wait that the poll requests.
 pub(super) const ANSWER_SLACK: Duration = Duration::from_millis(400);
-/// How much slower than ours a worker's clock may run, in percent.
+/// How much slower than this instance's clock a worker's clock may run, in percent.
 pub(super) const SLOW_CLOCK_PERCENT: u32 = 2;
-/// Added to every bound on a worker's clock.
+/// Slack added to every bound on a worker's clock.
 pub(super) const CLOCK_SLACK: Duration = Duration::from_millis(60);
-/// Failures in a row, of different jobs, after which a worker rests.
-const FAILURES_TO_REST: u32 = 3;
-/// First rest of a worker that fails what it starts; it doubles each time.
-const FIRST_REST: Duration = Duration::from_secs(3);
-/// Least weight of a new measurement of how slow a worker is: some twenty tasks are remembered.
-const SLOWNESS_WEIGHT: f64 = 0.05;
-/// Tasks that a predecessor's measurement counts for.
-const MEASURED_BEFORE: u32 = 10;
-/// Most that one task says about it; guesses of run times are off by up to 90%.
-const SLOWNESS_BOUND: f64 = 0.8;
-/// Most doublings of it.
-const REST_DOUBLINGS: u32 = 3;
-
-/// How it is known that a life of a worker is over, or all that it ran.
+/// Consecutive failures, of different jobs, after which a worker is in back-off.
+const FAILURES_BEFORE_BACKOFF: u32 = 3;
+/// First back-off of a worker whose runs keep failing. It doubles each time.
+const FIRST_BACKOFF: Duration = Duration::from_secs(3);
+/// Minimum weight of a new slowness measurement, so that about 20 tasks are averaged.
+const MIN_SLOWNESS_WEIGHT: f64 = 0.05;
+/// Number of tasks that the slowness measured by the previous leader counts for.
+const INHERITED_MEASUREMENTS: u32 = 10;
+/// Largest contribution of one task to the slowness. Estimates of run times are off by up to 90%.
+const MAX_SLOWNESS_SAMPLE: f64 = 0.8;
+/// Maximum number of doublings of the back-off.
+const MAX_BACKOFF_DOUBLINGS: u32 = 3;
+
+/// How the leader knows that a worker process, or everything that it ran, has ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ProcessEnd {
-    /// Another life answers at its address.
+    /// Another process, with another worker id, answers at its address.
     OtherLife,
-    /// Another process answers under its id.
+    /// Another process answers under the same worker id.
     Restarted,
-    /// It is silent, and its hold has surely run out.
+    /// The worker is unresponsive, and its lease is known to have expired.
     LeaseExpired,
 }
 
 impl ProcessEnd {
-    /// Words for logs.
+    /// Returns the text for logs.
     pub(super) fn as_str(self) -> &'static str {
         match self {
-            ProcessEnd::OtherLife => "another life answers",
-            ProcessEnd::Restarted => "it has started again",
-            ProcessEnd::LeaseExpired => "its hold is over",
+            ProcessEnd::OtherLife => "another process answers at its address",
+            ProcessEnd::Restarted => "it was restarted",
+            ProcessEnd::LeaseExpired => "its lease has expired",
         }
     }
 }
 
-/// The time within which a worker was lost.
+/// The interval in which a worker was lost.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct LossWindow {
     pub(super) first: CoreTime,
@@ -63,7 +64,7 @@
 }
 
 impl LossWindow {
-    /// At a known moment.
+    /// Returns the interval of a known moment.
     pub(super) fn at(at: CoreTime) -> Self {
         Self {
             first: at,
@@ -72,26 +73,26 @@
     }
 }
 
-/// Whether a worker's hold may be prolonged, as the ledger has it.
+/// Whether the ledger allows renewing a worker's lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum LeaseStop {
-    /// Nothing is kept of it: it is prolonged while the worker is heard.
+    /// The ledger has no entry about it: the lease is renewed while the worker is in contact.
     None,
-    /// It is kept, or about to be, that it is not prolonged.
+    /// The ledger has, or is about to have, the event that the lease is not renewed.
     Stopped,
-    /// It is about to be kept that it is prolonged again.
+    /// The event that the lease may be renewed again is being committed.
     Resuming,
 }
 
-/// The connection on which a worker's list came.
+/// The connection on which a worker's run lists were received.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct ListConnection {
-    /// Who made it; none for the leader itself.
+    /// The proxy that opened it; `None` for a connection of the leader itself.
     pub(super) proxy: Option<PeerAddress>,
     pub(super) connection: ConnectionId,
 }
 
-/// Room kept for a step while it waits for permits, or for that room.
+/// Capacity reserved for a step that waits for permits or for the rest of its capacity.
 #[derive(Clone, Debug)]
 pub(super) struct Reservation {
     pub(super) step: StepKey,
@@ -99,63 +100,63 @@
     pub(super) until: CoreTime,
 }
 
-/// One process of a worker.
+/// What the leader knows about one process of a worker.
 #[derive(Debug)]
 pub(super) struct WorkerState {
     /// Number of this incarnation.
     pub(super) number: u64,
     pub(super) entry: WorkerEntry,
     pub(super) listed: bool,
-    /// Whether a queue or an open job names its service.
+    /// Whether a queue or an open job names the worker's service.
     pub(super) service_in_use: bool,
-    /// Whether its entry could be read when it was last seen.
+    /// Whether the entry could be decoded when it was last read.
     pub(super) entry_readable: bool,
-    /// When its entry was last found to be gone.
+    /// When the entry was last found to be removed.
     pub(super) unlisted_at: Option<CoreTime>,
-    /// Whether its port refused the last look.
+    /// Whether the worker's port refused the last poll.
     pub(super) refused: bool,
-    /// When its port first refused a look since it was heard.
+    /// When the port first refused a poll since the last contact.
     pub(super) refused_at: Option<CoreTime>,
-    /// Whether what is seen of its end is kept.
+    /// Whether the evidence about the worker's end has been proposed to the ledger.
     pub(super) crash_evidence_proposed: bool,
-    /// Whether it was given up, and was not heard since.
+    /// Whether the worker was declared lost and has had no contact since.
     pub(super) declared_lost: bool,
-    /// Whether it has answered under the own token.
+    /// Whether the worker has answered a call with this leader's fencing token.
     pub(super) token_accepted: bool,
-    /// When it first did: from then on it takes no order of a leader before.
+    /// When it first did. From then on it accepts no order of a former leader.
     pub(super) token_accepted_at: CoreTime,
-    /// When an answer came, and the worker's clock in it.
+    /// When an answer arrived, and the reading of the worker's clock in it.
     pub(super) clock: Option<(CoreTime, u64)>,
-    /// Greatest reading of its clock to which a hold was prolonged.
+    /// Latest reading of the worker's clock up to which a lease was granted.
     pub(super) lease_until: u64,
     pub(super) lease_stop: LeaseStop,
     pub(super) last_contact: Option<CoreTime>,
     pub(super) known_at: CoreTime,
-    /// Looks without an answer since it was heard.
+    /// Polls without an answer since the last contact.
     pub(super) unanswered: u32,
     pub(super) poll_in_flight: bool,
-    /// Time for which the last look lets the worker wait.
+    /// How long the last poll lets the worker wait before it answers.
     pub(super) poll_wait: Duration,
     pub(super) next_poll: CoreTime,
     pub(super) runs: BTreeMap<TaskKey, LiveRun>,
     pub(super) used: TaskSize,
     pub(super) reserved: Vec<Reservation>,
-    /// Start of the process that answers, as its last list told.
+    /// Start time of the process that answers, as reported with its last run lists.
     pub(super) started: Option<ProcessStart>,
-    /// Connection on which its last list came.
+    /// Connection on which the last run lists were received.
     pub(super) listed_on: Option<ListConnection>,
-    /// Greatest number of an end that was taken.
+    /// Highest number of an ended run that was handled.
     pub(super) last_end_seen: u64,
-    /// Greatest number of an end that is kept.
+    /// Highest number of an ended run that is committed.
     pub(super) last_end_committed: u64,
-    /// Greatest number up to which the process has confirmed an acknowledgement of its ends.
+    /// Highest number of an ended run whose acknowledgement the process has confirmed.
     pub(super) last_end_acknowledged: u64,
-    /// Logarithm of how much longer than elsewhere tasks take here.
+    /// Logarithm of how much longer tasks take on this worker than on others.
     pub(super) slowness: f64,
     measured: u32,
     failures: u32,
     failed_job: u64,
-    rests: u32,
+    backoffs: u32,
     pub(super) backoff_until: CoreTime,
 }
 
@@ -195,13 +196,13 @@
             measured: 0,
             failures: 0,
             failed_job: 0,
-            rests: 0,
+            backoffs: 0,
             backoff_until: CoreTime::ZERO,
         }
     }
 
-    /// The next process of a worker, which has just answered. Its entry and what the ledger has of its hold
-    /// are the worker's.
+    /// Creates the state of a worker's next process, which has just answered. The entry and the
+    /// ledger's decision about the lease belong to the worker and carry over.
     pub(super) fn restarted(before: &Self, started: Option<ProcessStart>, now: CoreTime) -> Self {
         Self {
             started,
@@ -215,9 +216,9 @@
         }
     }
 
-    /// For the log: how it stood when it was given up.
+    /// Returns a summary for the log, written when the worker is declared lost.
     pub(super) fn summary(&self, now: CoreTime) -> String {
-        let silent = now.saturating_sub(self.last_contact.unwrap_or(self.known_at));
+        let no_contact_for = now.saturating_sub(self.last_contact.unwrap_or(self.known_at));
         let entry = match (self.listed, self.entry.leaving) {
             (_, true) => "leaving",
             (true, false) => "listed",
@@ -225,31 +226,33 @@
         };
         let address = &self.entry.address;
         let runs = self.runs.len();
-        format!("{address}, silent for {silent:?}, {entry}, {runs} runs")
+        format!("{address}, no contact for {no_contact_for:?}, entry {entry}, {runs} runs")
     }
 
-    /// Tells whether it has answered within a time.
+    /// Returns whether the last contact is more recent than `within`.
     pub(super) fn has_contact(&self, now: CoreTime, within: Duration) -> bool {
         self.last_contact
             .is_some_and(|at| now.saturating_sub(at) < within)
     }
 
-    /// Tells whether it said that it leaves, or served on after its entry was gone: then its end is no
-    /// news.
+    /// Returns whether the worker announced that it leaves, or still answered after its entry was
+    /// removed. Its end is then expected.
     pub(super) fn left_as_announced(&self) -> bool {
         let outlived = self.last_contact.zip(self.unlisted_at);
-        self.entry.leaving || (!self.listed && outlived.is_some_and(|(heard, gone)| heard > gone))
+        self.entry.leaving
+            || (!self.listed && outlived.is_some_and(|(contact, gone)| contact > gone))
     }
 
-    /// Tells whether it does not answer any more, though it did.
+    /// Returns whether a worker that has answered this leader no longer answers.
     pub(super) fn is_unresponsive(&self, now: CoreTime) -> bool {
         self.token_accepted
             && !self.declared_lost
             && (self.refused || !self.has_contact(now, UNRESPONSIVE_AFTER))
     }
 
-    /// When it was lost, as far as is known: its port refused, which is seen at once, or else at some
-    /// moment of the time for which it may be silent and well.
+    /// Returns when the worker was lost. If its port refused, that is the moment of the refusal.
+    /// Otherwise the window starts at the last contact and lasts as long as a working worker may be
+    /// without contact.
     pub(super) fn loss_window(&self) -> LossWindow {
         if let Some(at) = self.refused_at {
             return LossWindow::at(at);
@@ -259,12 +262,13 @@
         LossWindow { first, last }
     }
 
-    /// Tells whether a run here began so lately that it may be what ends the worker.
+    /// Returns whether a run started here so recently that it may be the cause of the worker's end.
     pub(super) fn has_new_run(&self, now: CoreTime) -> bool {
         self.runs.values().any(|live| live.is_new(now))
     }
 
-    /// It is heard again: it had not ended.
+    /// Drops the crash evidence of all runs, because the worker is in contact again and so has not
+    /// ended.
     pub(super) fn forget_crashes(&mut self) {
         if std::mem::take(&mut self.crash_evidence_proposed) {
             for live in self.runs.values_mut() {
@@ -273,109 +277,116 @@
         }
     }
 
-    /// Tells whether a suspect has it to itself.
+    /// Returns whether a suspect runs here isolated.
     pub(super) fn is_on_trial(&self) -> bool {
         self.runs.values().any(|live| live.on_trial)
     }
 
-    /// Tells whether its end is held against a task.
+    /// Returns whether the worker's end counts as evidence against one of its tasks.
     pub(super) fn is_crashed_by_task(&self) -> bool {
         let proof = |evidence: &CrashEvidence| evidence.weight == CrashWeight::Proof;
         let mut runs = self.runs.values();
         runs.any(|live| live.on_trial || live.crash.as_ref().is_some_and(proof))
     }
 
-    /// Tells whether it is lost as far as is known: silent, or away since this leader began.
+    /// Returns whether the worker is probably lost: unresponsive, or listed without having answered any
+    /// poll of this leader.
     pub(super) fn is_lost(&self, now: CoreTime) -> bool {
-        let away =
+        let never_answered =
             !self.token_accepted && !self.declared_lost && self.listed && self.unanswered > 0;
-        away || self.is_unresponsive(now)
+        never_answered || self.is_unresponsive(now)
     }
 
-    /// Tells whether it answers as it should: within the time that its last look gave it. One whose
-    /// port refuses is gone, whenever it was heard.
+    /// Returns whether the worker answers within the wait of its last poll. A worker whose port refuses
+    /// has ended, however recent the last contact is.
     pub(super) fn is_responsive(&self, now: CoreTime) -> bool {
-        !self.refused && self.has_contact(now, HEARD_LATELY.max(self.usual_response_gap()))
+        !self.refused && self.has_contact(now, RECENT_CONTACT.max(self.usual_response_gap()))
     }
 
-    /// Tells whether its next look is due.
+    /// Returns whether the next poll is due.
     pub(super) fn poll_is_due(&self, now: CoreTime) -> bool {
         let called =
             !self.entry.address.is_empty() && (self.service_in_use || !self.runs.is_empty());
         !self.poll_in_flight && now >= self.next_poll && called
     }
 
-    /// Tells whether it has a run whose end is urgent.
+    /// Returns whether the worker has a run whose end is urgent.
     pub(super) fn has_urgent_run(&self) -> bool {
         self.runs.values().any(|live| live.urgent)
     }
 
-    /// Tells whether its entry was written by the process that answers, as far as both are told.
+    /// Returns whether the entry was written by the process that answers. True if either start time is
+    /// unknown.
     pub(super) fn entry_is_current(&self) -> bool {
-        let told = self.started.zip(self.entry.started);
-        told.is_none_or(|(answers, wrote)| answers == wrote)
+        let known = self.started.zip(self.entry.started);
+        known.is_none_or(|(answers, wrote)| answers == wrote)
     }
 
-    /// Tells whether ends are kept in the ledger that its process has not been told to drop.
+    /// Returns whether the ledger has ended runs that the process has not been told to drop.
     pub(super) fn has_unacknowledged_ends(&self) -> bool {
         self.last_end_committed > self.last_end_acknowledged
     }
 
-    /// The connection for an acknowledgement by a carrier, if ends wait for one.
+    /// Returns the connection on which a proxy, or the leader itself, can acknowledge committed ends,
+    /// if any wait for it.
     ///
-    /// Another process would drop ends of its own that nobody has read, and a connection ends with the process
-    /// that has listed on it.
+    /// An acknowledgement must reach the process that reported the ends: another process would drop
+    /// ends of its own that nobody has read. A connection ends with the process that sent its lists on
+    /// it.
     pub(super) fn acknowledges_on(&self, proxy: Option<PeerAddress>) -> Option<ConnectionId> {
         let listed_on = self.listed_on.filter(|on| on.proxy == proxy)?;
         self.has_unacknowledged_ends()
             .then_some(listed_on.connection)
     }
 
-    /// Starts that have no answer yet.
+    /// Returns the number of starts without an answer yet.
     pub(super) fn starts_in_flight(&self) -> usize {
         let open = |live: &&LiveRun| live.busy && live.phase == RunPhase::Ordered;
         self.runs.values().filter(open).count()
     }
 
-    /// Takes a reading of the worker's clock from an answer.
+    /// Records a reading of the worker's clock from an answer.
     pub(super) fn note_clock(&mut self, now: CoreTime, clock_ms: u64) {
         self.clock = Some((now, clock_ms));
     }
 
-    /// Reading that its clock surely has by now.
-    fn least_clock(&self, now: CoreTime) -> Option<u64> {
+    /// Returns a lower bound on the current reading of the worker's clock.
+    fn min_clock(&self, now: CoreTime) -> Option<u64> {
         let (at, reading) = self.clock?;
         let passed = now.saturating_sub(at + CLOCK_SLACK);
         let slow = passed * (100 - SLOW_CLOCK_PERCENT) / 100;
         Some(reading + slow.as_millis() as u64)
     }
 
-    /// Reading of its clock at a time up to which it is to hold what runs, if its clock is known.
+    /// Returns the reading of the worker's clock for a lease that ends at `until`, or `None` if the
+    /// clock is unknown.
     pub(super) fn lease_deadline(&self, until: CoreTime) -> Option<u64> {
         let (at, reading) = self.clock?;
         Some(reading + until.saturating_sub(at).as_millis() as u64)
     }
 
-    /// Tells whether its hold may be prolonged: it was heard so lately, and nothing is kept against it.
-    pub(super) fn may_renew_lease(&self, now: CoreTime, heard_within: Duration) -> bool {
-        let within = heard_within.max(self.usual_response_gap());
+    /// Returns whether the lease may be renewed: the last contact is recent, and the ledger does not
+    /// forbid it.
+    pub(super) fn may_renew_lease(&self, now: CoreTime, contact_within: Duration) -> bool {
+        let within = contact_within.max(self.usual_response_gap());
         self.token_accepted && self.has_contact(now, within) && self.lease_stop == LeaseStop::None
     }
 
-    /// Silence of a worker that answers as it should: the wait of its last look, and its way.
+    /// Returns the longest time without contact of a worker that works normally: the wait of its last
+    /// poll plus the slack for its answer.
     pub(super) fn usual_response_gap(&self) -> Duration {
         self.poll_wait + ANSWER_SLACK
     }
 
-    /// Time by its own clock until every hold that this leader prolonged is surely over.
+    /// Returns the time, by the worker's clock, until every lease that this leader granted has expired.
     pub(super) fn lease_left(&self, now: CoreTime) -> Duration {
-        let clock = self.least_clock(now).unwrap_or_default();
+        let clock = self.min_clock(now).unwrap_or_default();
         Duration::from_millis(self.lease_until.saturating_sub(clock))
     }
 
-    /// Tells whether every hold that this leader prolonged is surely over.
+    /// Returns whether every lease that this leader granted is known to have expired.
     pub(super) fn lease_has_expired(&self, now: CoreTime) -> bool {
-        self.least_clock(now)
+        self.min_clock(now)
             .is_some_and(|clock| clock > self.lease_until)
     }
 
@@ -390,7 +401,7 @@
         Some(run)
     }
 
-    /// Counts a run's room as free while the run is still there.
+    /// Counts the resources of a run as free although the run is still there.
     pub(super) fn release_resources(&mut self, task: &TaskKey) {
         if let Some(run) = self.runs.get_mut(task) {
             self.used = self.used.minus(&run.resources);
@@ -398,16 +409,16 @@
         }
     }
 
-    /// Lets a run that had the whole worker keep the room of its step alone.
-    pub(super) fn end_trial(&mut self, task: &TaskKey, room: TaskSize) {
+    /// Ends the isolation of a run: it keeps the resources of its step instead of the entire worker.
+    pub(super) fn end_trial(&mut self, task: &TaskKey, resources: TaskSize) {
         if let Some(run) = self.runs.get_mut(task) {
-            self.used = self.used.minus(&run.resources).plus(&room);
-            run.resources = room;
+            self.used = self.used.minus(&run.resources).plus(&resources);
+            run.resources = resources;
             run.on_trial = false;
         }
     }
 
-    /// Forgets the runs of a job of which nothing was ever sent.
+    /// Forgets the runs of a job that was never sent to the worker.
     pub(super) fn drop_job(&mut self, job: JobId) {
         let tasks: Vec<TaskKey> = self
             .runs
@@ -421,7 +432,7 @@
         self.reserved.retain(|entry| entry.step.job != job);
     }
 
-    /// Tells whether a load must not join what runs here.
+    /// Returns whether a run here conflicts with a load.
     pub(super) fn has_conflicting_run(&self, load: RunLoad) -> bool {
         load != RunLoad::Plain
             && self
@@ -430,13 +441,13 @@
                 .any(|live| load.conflicts_with(live.load))
     }
 
-    /// Room that a step may use now.
+    /// Returns the capacity that a step may use now.
     pub(super) fn free_for(&self, step: StepKey, now: CoreTime) -> TaskSize {
-        let kept = self.reserved_for_others(step, now);
-        self.entry.room.minus(&self.used).minus(&kept)
+        let reserved_now = self.reserved_for_others(step, now);
+        self.entry.room.minus(&self.used).minus(&reserved_now)
     }
 
-    /// Room that is kept for other steps.
+    /// Returns the capacity reserved for other steps.
     pub(super) fn reserved_for_others(&self, step: StepKey, now: CoreTime) -> TaskSize {
         self.reserved
             .iter()
@@ -444,17 +455,17 @@
             .fold(TaskSize::default(), |sum, entry| sum.plus(&entry.resources))
     }
 
-    /// Tells whether room is kept here for a step.
+    /// Returns whether capacity is reserved here for a step.
     pub(super) fn has_reservation_for(&self, step: StepKey, now: CoreTime) -> bool {
         self.reserved
             .iter()
             .any(|entry| entry.step == step && entry.until > now)
     }
 
-    /// Keeps the room that is kept for a step until a later time.
+    /// Extends the reservations of a step.
     pub(super) fn extend_reservation(&mut self, step: StepKey, until: CoreTime, now: CoreTime) {
-        let kept = |entry: &&mut Reservation| entry.step == step && entry.until > now;
-        for entry in self.reserved.iter_mut().filter(kept) {
+        let reserved_now = |entry: &&mut Reservation| entry.step == step && entry.until > now;
+        for entry in self.reserved.iter_mut().filter(reserved_now) {
             entry.until = until;
         }
     }
@@ -464,43 +475,43 @@
             .retain(|entry| entry.step != step && entry.until > now);
     }
 
-    /// Begins with what a predecessor measured.
+    /// Starts with the slowness that the previous leader measured.
     pub(super) fn start_slowness(&mut self, slowness: f64) {
         self.slowness = slowness;
-        self.measured = MEASURED_BEFORE;
+        self.measured = INHERITED_MEASUREMENTS;
     }
 
-    /// Notes how much longer than usual for its queue a task took, as a logarithm.
+    /// Records how much longer than usual for its queue a task took, as a logarithm.
     pub(super) fn note_slowness(&mut self, excess: f64) {
         self.measured += 1;
-        let weight = (1.0 / f64::from(self.measured + 1)).max(SLOWNESS_WEIGHT);
-        let bounded = excess.clamp(-SLOWNESS_BOUND, SLOWNESS_BOUND);
+        let weight = (1.0 / f64::from(self.measured + 1)).max(MIN_SLOWNESS_WEIGHT);
+        let bounded = excess.clamp(-MAX_SLOWNESS_SAMPLE, MAX_SLOWNESS_SAMPLE);
         self.slowness += weight * (bounded - self.slowness);
     }
 
-    /// Whether the last run here that ended by itself failed.
+    /// Returns whether the last run here that ended on its own has failed.
     pub(super) fn last_run_failed(&self) -> bool {
         self.failures > 0
     }
 
-    /// Notes how a run ended; returns whether the worker begins to rest.
+    /// Records how a run ended. Returns whether the worker's back-off starts.
     pub(super) fn note_result(&mut self, job: u64, good: bool, now: CoreTime) -> bool {
         if good {
             self.failures = 0;
-            self.rests = 0;
+            self.backoffs = 0;
             return false;
         }
         if self.failed_job != job {
             self.failed_job = job;
             self.failures += 1;
         }
-        if self.failures < FAILURES_TO_REST {
+        if self.failures < FAILURES_BEFORE_BACKOFF {
             return false;
         }
-        self.failures = FAILURES_TO_REST - 1;
-        let doublings = self.rests.min(REST_DOUBLINGS);
-        self.rests += 1;
-        self.backoff_until = now + FIRST_REST * 2_u32.pow(doublings);
+        self.failures = FAILURES_BEFORE_BACKOFF - 1;
+        let doublings = self.backoffs.min(MAX_BACKOFF_DOUBLINGS);
+        self.backoffs += 1;
+        self.backoff_until = now + FIRST_BACKOFF * 2_u32.pow(doublings);
         true
     }
 }
