--- a/crates/bankvalve_queue/src/core/call_proxies.rs
+++ b/crates/bankvalve_queue/src/core/call_proxies.rs
@@ -28,8 +28,8 @@
 const SELECTION_INTERVAL: Duration = Duration::from_millis(100);
 /// Maximum time since the last heartbeat of a proxy: more than two heartbeat intervals.
 const PROXY_CONTACT_TIMEOUT: Duration = Duration::from_millis(450);
-/// Maximum number of ledger batches that a proxy lacks, by its last heartbeat. Batches are written
-/// 24 ms apart, and heartbeats come every 160 ms.
+/// Maximum number of ledger batches that a proxy's book may lack, by its last heartbeat. Batches are
+/// written 24 ms apart, and heartbeats come every 160 ms.
 const MAX_BATCHES_BEHIND: u64 = 30;
 /// Time after which a proxy forgets a call that has no answer.
 const FORGET_CALL_AFTER: Duration = Duration::from_secs(5);
@@ -80,6 +80,7 @@
         self.time_out_calls();
     }
 
+    /// Returns the standbys to use as proxies; none if the leader has enough CPU for its workers.
     fn select_proxies(&self, lead: &LeadState) -> Vec<PeerAddress> {
         let workers = lead.worker_states.len() as u64 * 1_000;
         if workers < PROXIED_WORKERS_PER_CORE * self.settings.strength.max(1) || self.stopping {
@@ -161,17 +162,17 @@
             self.send_message(from, PeerMessage::Carried { ticket, answer });
             return;
         };
-        let own_ticket = self.take_ticket();
+        let local_ticket = self.take_ticket();
         let since = self.now;
         let origin = ProxyOrigin {
             leader: from,
             ticket,
             since,
         };
-        self.proxied_calls.insert(own_ticket, origin);
+        self.proxied_calls.insert(local_ticket, origin);
         self.counters.count("calls", "carried");
         self.push_worker_call(
-            own_ticket,
+            local_ticket,
             &proxied.worker,
             proxied.address,
             proxied.token,
--- a/crates/bankvalve_queue/src/core/election.rs
+++ b/crates/bankvalve_queue/src/core/election.rs
@@ -46,6 +46,8 @@
     pub(super) epoch: u64,
     /// Version of its row; 0 if it is known only from peers.
     pub(super) row_version: u64,
+    /// Last contact. For a leader that is known only from its row, a time such that it is suspected after
+    /// [`ROW_HEARTBEAT_GRACE`].
     pub(super) last_contact: CoreTime,
     /// Whether its process has gone: its port refused a connection, or another process answers there.
     pub(super) gone: bool,
@@ -78,12 +80,13 @@
 #[derive(Clone, Debug, Default)]
 pub(super) struct PeerView {
     pub(super) last_contact: Option<CoreTime>,
+    /// When the peer became known. Stands in for the last contact of a peer that has none.
     pub(super) known_at: CoreTime,
     /// CPU capacity, in thousandths of a core.
     pub(super) strength: u64,
     pub(super) heartbeat: HeartbeatBody,
     pub(super) echo: PeerEcho,
-    /// Whether its heartbeats come at the reduced rate between the leader and the other members of a
+    /// Whether its heartbeats come at the slow rate between the leader and the other members of a
     /// large site.
     pub(super) slow: bool,
 }
@@ -92,9 +95,11 @@
 #[derive(Debug)]
 pub(super) struct ClaimState {
     pub(super) epoch: u64,
+    /// Whether it is in flight.
     pub(super) busy: bool,
     /// When its first copy was sent.
     pub(super) sent_at: CoreTime,
+    /// When another claim may be sent.
     pub(super) next_at: CoreTime,
     /// Number of batches in the local book, if the claim requires that the ledger has no more.
     ledger_end: Option<u64>,
@@ -134,10 +139,10 @@
     }
 
     pub(super) fn read_leader_row(&mut self) {
-        self.ask_leader_row(StorePurpose::LeaderRow);
+        self.request_leader_row(StorePurpose::LeaderRow);
     }
 
-    pub(super) fn ask_leader_row(&mut self, purpose: StorePurpose) {
+    pub(super) fn request_leader_row(&mut self, purpose: StorePurpose) {
         let table = CELL_TABLE.to_owned();
         let part = LEAD_PART.to_owned();
         let from = String::new();
@@ -150,6 +155,8 @@
         self.send_store_request(purpose, request);
     }
 
+    /// Handles the contents of the leader's row, which may show a claim of this instance, a new leader,
+    /// or only a new version of the row.
     pub(super) fn handle_leader_row(&mut self, value: &[u8], version: u64) {
         let Ok(row) = rmp_serde::from_slice::<LeaderRow>(value) else {
             self.log("election", "row_unreadable", String::new(), String::new());
@@ -246,11 +253,11 @@
             self.applied = 0;
         }
         self.catch_up_at = Some(self.now + Duration::from_millis(300));
-        let own = self.settings.address;
+        let local = self.settings.address;
         if self
             .leader
             .as_ref()
-            .is_some_and(|leader| leader.address == own)
+            .is_some_and(|leader| leader.address == local)
         {
             self.leader = None;
         }
@@ -259,14 +266,19 @@
 
     /// Returns whether a heartbeat comes from another process at the leader's address, which shows
     /// that the process that led has ended.
-    pub(super) fn is_new_process_of_leader(&self, from: PeerAddress, news: &HeartbeatBody) -> bool {
+    pub(super) fn is_new_process_of_leader(
+        &self,
+        from: PeerAddress,
+        heartbeat: &HeartbeatBody,
+    ) -> bool {
         self.lead.is_none()
             && self
                 .leader
                 .as_ref()
-                .is_some_and(|leader| leader.address == from && leader.life != news.life)
+                .is_some_and(|leader| leader.address == from && leader.life != heartbeat.life)
     }
 
+    /// Records that the leader's process has gone, so that the leader is suspected at once.
     pub(super) fn mark_leader_gone(&mut self) {
         let suspect_at = self.now.saturating_sub(SUSPECT_AFTER);
         if let Some(leader) = self.leader.as_mut() {
@@ -275,16 +287,18 @@
         }
     }
 
-    pub(super) fn note_leader_heartbeat(&mut self, from: PeerAddress, news: &HeartbeatBody) {
+    /// Handles a heartbeat from a peer that leads. One with an earlier epoch is ignored, and one with a
+    /// later epoch is from a new leader.
+    pub(super) fn note_leader_heartbeat(&mut self, from: PeerAddress, heartbeat: &HeartbeatBody) {
         let known = self.leader.as_ref().map_or(0, |leader| leader.epoch);
-        if news.epoch < self.highest_epoch {
+        if heartbeat.epoch < self.highest_epoch {
             return;
         }
-        if news.epoch > known {
+        if heartbeat.epoch > known {
             self.follow(LeaderView {
-                loading: news.loading,
-                refuse_percent: news.refuse_percent,
-                ..LeaderView::new(from, news.life, news.epoch, self.now)
+                loading: heartbeat.loading,
+                refuse_percent: heartbeat.refuse_percent,
+                ..LeaderView::new(from, heartbeat.life, heartbeat.epoch, self.now)
             });
             return;
         }
@@ -292,11 +306,11 @@
         if let Some(leader) = self.leader.as_mut() {
             if leader.address == from {
                 leader.last_contact = now;
-                leader.life = news.life;
+                leader.life = heartbeat.life;
                 leader.gone = false;
                 leader.ended = false;
-                leader.loading = news.loading;
-                leader.refuse_percent = news.refuse_percent;
+                leader.loading = heartbeat.loading;
+                leader.refuse_percent = heartbeat.refuse_percent;
                 self.suspect_since = None;
             }
         }
@@ -322,6 +336,8 @@
         }
     }
 
+    /// Returns whether to claim leadership now: because a leader has requested it, or because the
+    /// leader has been suspected for as long as this instance's rank requires.
     fn should_claim(&mut self) -> bool {
         if let Some(epoch) = self.handover_epoch {
             if epoch >= self.highest_epoch {
@@ -362,6 +378,7 @@
             >= PREFERRED_RANK_DELAY * preferred + OTHER_RANK_DELAY * others + other_delay
     }
 
+    /// Claims the next epoch, on condition that the leader's row has not changed.
     fn begin_claim(&mut self) {
         let epoch = self.highest_epoch + 1;
         let version = self.leader.as_ref().map_or(0, |leader| leader.row_version);
--- a/crates/bankvalve_queue/src/core/follower.rs
+++ b/crates/bankvalve_queue/src/core/follower.rs
@@ -28,7 +28,7 @@
 impl EntryCore {
     pub(super) fn handle_message(&mut self, from: PeerAddress, message: PeerMessage) {
         match message {
-            PeerMessage::Heartbeat(news) => self.handle_heartbeat(from, news),
+            PeerMessage::Heartbeat(heartbeat) => self.handle_heartbeat(from, heartbeat),
             PeerMessage::Ask {
                 ticket,
                 table_version,
@@ -106,6 +106,8 @@
         }
     }
 
+    /// Applies a batch from the leader if it is the next one, or schedules a read of those that are
+    /// missing.
     fn handle_committed(&mut self, epoch: u64, sequence: u64, batch: &[u8]) {
         if self.lead.is_some() || epoch < self.highest_epoch || sequence <= self.applied {
             return;
@@ -166,9 +168,8 @@
 
     /// Returns whether a request for a page of the ledger is in flight.
     pub(super) fn is_reading_ledger(&self) -> bool {
-        let is_ledger_read = |question: &OpenStoreRequest| {
-            matches!(question.purpose, StorePurpose::ReadLedger { .. })
-        };
+        let is_ledger_read =
+            |request: &OpenStoreRequest| matches!(request.purpose, StorePurpose::ReadLedger { .. });
         self.open_store_requests.values().any(is_ledger_read)
     }
 
--- a/crates/bankvalve_queue/src/core/handover.rs
+++ b/crates/bankvalve_queue/src/core/handover.rs
@@ -14,9 +14,9 @@
 /// Time without an answer from the table after which a leader reports this to its peers, which then
 /// query the table. A slow table answers the read that checks a write before that.
 const TROUBLE_AFTER: Duration = Duration::from_millis(450);
-/// Multiple of the usual latency of a small answer that must also have passed without an answer.
+/// Multiple of the usual latency of a small answer that must also have passed before the report.
 const TROUBLE_LATENCY_FACTOR: u32 = 2;
-/// Minimum interval between two such queries by a peer.
+/// Minimum interval between two queries by a peer to which the leader has reported this.
 const PROBE_INTERVAL: Duration = Duration::from_millis(250);
 /// Maximum time for which a leader that has asked a peer to take over continues until the peer's
 /// claim is applied. With a slow table, a claim takes a second.
@@ -31,10 +31,10 @@
 const UP_TO_DATE_GRACE: Duration = Duration::from_millis(700);
 /// Minimum time for which an instance leads before it hands over to a peer with more CPU.
 const MIN_LEADERSHIP: Duration = Duration::from_millis(1_200);
-/// Maximum age of the table's last answer to a peer that counts as reaching it. A watch waits for a
-/// second.
+/// Maximum age of the table's last answer to a peer that counts as reaching the table. It allows for a
+/// watch, which waits for a second.
 const MAX_TABLE_CONTACT_AGE: Duration = Duration::from_millis(1_400);
-/// CPU capacity that a peer needs to take over for that reason, in percent of this instance's. A
+/// CPU capacity that a peer needs to take over because it has more, in percent of this instance's. A
 /// change of leader costs a few tenths of a second.
 const MIN_SUCCESSOR_CPU_PERCENT: u64 = 150;
 
@@ -45,7 +45,7 @@
             return;
         }
         self.next_probe = self.now + PROBE_INTERVAL;
-        self.ask_leader_row(StorePurpose::Probe);
+        self.request_leader_row(StorePurpose::Probe);
     }
 
     pub(super) fn end_probe(&mut self, outcome: &StoreOutcome) {
@@ -145,8 +145,8 @@
         let min_cpu = self.settings.strength * MIN_SUCCESSOR_CPU_PERCENT / 100;
         let local_batches = self.applied;
         let qualifies = |peer: &PeerView| {
-            let news = &peer.heartbeat;
-            let follows = news.epoch == epoch && !news.stopping;
+            let heartbeat = &peer.heartbeat;
+            let follows = heartbeat.epoch == epoch && !heartbeat.stopping;
             peer.strength >= min_cpu
                 && reaches_table(peer)
                 && follows
--- a/crates/bankvalve_queue/src/core/hubs.rs
+++ b/crates/bankvalve_queue/src/core/hubs.rs
@@ -39,7 +39,7 @@
         self.peers.len() + 1 >= LARGE_SITE_MEMBERS
     }
 
-    /// Returns whether this instance gets heartbeats from the leader at the reduced rate and learns
+    /// Returns whether this instance gets heartbeats from the leader at the slow rate and learns
     /// more about it from hubs: it is not a preferred member, and the site is large.
     pub(super) fn is_behind_hubs(&self) -> bool {
         self.has_many_members() && !self.preferred.contains(&self.settings.address)
@@ -62,10 +62,10 @@
         if !self.has_many_members() {
             return None;
         }
-        let own = self.settings.address;
+        let local = self.settings.address;
         let preferred = &self.preferred;
         let leads = self.lead.is_some();
-        let member = if leads { to } else { own };
+        let member = if leads { to } else { local };
         if preferred.contains(&member) {
             return None;
         }
@@ -77,7 +77,7 @@
                     .is_some_and(|at| self.age(at) < HUB_CONTACT_TIMEOUT);
                 in_contact && !peer.heartbeat.stopping
             });
-            *hub != to && *hub != own && live
+            *hub != to && *hub != local && live
         };
         let weight = |hub: &PeerAddress| choice_weight(*hub, member);
         preferred.iter().copied().filter(usable).max_by_key(weight)
@@ -85,17 +85,17 @@
 
     /// Returns whether this instance is one of the hubs that report about the leader to another member.
     pub(super) fn is_hub_of(&self, member: PeerAddress) -> bool {
-        let own = self.settings.address;
+        let local = self.settings.address;
         if !self.has_many_members()
-            || !self.preferred.contains(&own)
+            || !self.preferred.contains(&local)
             || self.preferred.contains(&member)
         {
             return false;
         }
         let leader = self.leader.as_ref().map(|leader| leader.address);
-        let own_weight = choice_weight(own, member);
+        let local_weight = choice_weight(local, member);
         let others = self.preferred.iter().filter(|hub| Some(**hub) != leader);
-        let before = others.filter(|hub| choice_weight(**hub, member) > own_weight);
+        let before = others.filter(|hub| choice_weight(**hub, member) > local_weight);
         before.count() < HUBS_PER_MEMBER
     }
 
--- a/crates/bankvalve_queue/src/core/load_limit.rs
+++ b/crates/bankvalve_queue/src/core/load_limit.rs
@@ -17,9 +17,9 @@
 const RAISE_BELOW: Duration = Duration::from_millis(60);
 /// Time between two changes of the share: a few heartbeats, so the effect of a change is visible.
 const ADJUST_INTERVAL: Duration = Duration::from_millis(250);
-/// Percentage to which the share is reduced when it is lowered, and percentage points that are added
-/// when it is raised.
+/// Part of the share that remains when it is lowered, in percent.
 const LOWERED_PERCENT: u32 = 70;
+/// Percentage points by which the share is raised.
 const RAISE_POINTS: u32 = 3;
 /// Time for which a leader keeps saving link capacity after it last refused a share of jobs. Otherwise
 /// it would spend the savings at once, and the limit would return.
--- a/crates/bankvalve_queue/src/core/member_ranks.rs
+++ b/crates/bankvalve_queue/src/core/member_ranks.rs
@@ -1,7 +1,7 @@
 //! Ranking of members by CPU capacity: preferred members, standbys and successors.
 //!
-//! On a site with many instances, heartbeats between all pairs and each ledger batch to every member
-//! would take most of the CPU of the small instances. So the few members with the most CPU are
+//! On a site with many instances, heartbeats between all pairs and ledger batches to all members would
+//! take most of the CPU of the small instances. So the few members with the most CPU are
 //! preferred. They exchange heartbeats with each other and with the leader at the full rate, and the
 //! live ones receive each committed batch, which lets them take over at once. The other members
 //! receive heartbeats from the leader and, on a large site, from hubs.
@@ -72,7 +72,7 @@
         ranks.into_iter().map(|(_, address)| address).collect()
     }
 
-    /// Returns whether heartbeats with a peer come at the reduced rate: this instance leads a large
+    /// Returns whether heartbeats with a peer come at the slow rate: this instance leads a large
     /// site, and the peer is not a preferred member.
     pub(super) fn has_slow_heartbeat(&self, peer: PeerAddress) -> bool {
         self.lead.is_some() && self.has_many_members() && !self.preferred.contains(&peer)
@@ -81,9 +81,9 @@
     /// Returns the members to send a heartbeat to now.
     ///
     /// Heartbeats between preferred members, and between them and the leader, are always due when
-    /// this is called. `other_due` says whether those with other members are due, and `reduced_due`
+    /// this is called. `other_due` says whether those with other members are due, and `slow_due`
     /// whether those of the leader and another member on a large site are.
-    pub(super) fn heartbeat_targets(&self, other_due: bool, reduced_due: bool) -> Vec<PeerAddress> {
+    pub(super) fn heartbeat_targets(&self, other_due: bool, slow_due: bool) -> Vec<PeerAddress> {
         let preferred = self.preferred_members();
         let is_preferred = |address: &PeerAddress| preferred.contains(address);
         let local_preferred = is_preferred(&self.settings.address);
@@ -96,7 +96,7 @@
                 (leads && is_preferred(peer)) || (local_preferred && leader == Some(*peer));
             let with_leader = leads || leader == Some(*peer);
             let due = if large_site && with_leader {
-                reduced_due || (other_due && !leads && lacks_contact)
+                slow_due || (other_due && !leads && lacks_contact)
             } else {
                 other_due
             };
@@ -139,8 +139,8 @@
     /// Counts the members that may claim leadership before this one: preferred members, and others.
     ///
     /// A preferred member counts only those preferred members that are alive or starting. Any other
-    /// member counts all of them, and all members count every other member, because they may receive
-    /// no heartbeats from those.
+    /// member counts all preferred members, because it may receive no heartbeats from them. Members
+    /// that are not preferred are always counted, for the same reason.
     pub(super) fn higher_ranked_members(&self) -> (u32, u32) {
         let local = self.local_rank();
         let preferred = self.preferred_members();
--- a/crates/bankvalve_queue/src/core/members.rs
+++ b/crates/bankvalve_queue/src/core/members.rs
@@ -19,16 +19,16 @@
 const OTHER_HEARTBEAT_INTERVAL: Duration = Duration::from_millis(400);
 /// Interval between two heartbeats of the leader and another member on a large site, where preferred
 /// members report their last contact with the leader to the other members. With 141 members,
-/// heartbeats at the rate above would cost the leader 700 exchanges a second.
-const REDUCED_HEARTBEAT_INTERVAL: Duration = Duration::from_millis(2_000);
+/// [`OTHER_HEARTBEAT_INTERVAL`] would cost the leader 700 exchanges a second.
+const SLOW_HEARTBEAT_INTERVAL: Duration = Duration::from_millis(2_000);
 /// Time without contact with the leader after which another member of a large site sends it
 /// heartbeats at the usual rate, each of which the leader answers at once.
 const LEADER_CONTACT_TIMEOUT: Duration = Duration::from_millis(800);
 /// Time without contact after which a peer no longer counts as alive.
 const PEER_TIMEOUT: Duration = Duration::from_millis(900);
-/// Time without contact after which a peer whose heartbeats come at the reduced rate of a large site
+/// Time without contact after which a peer whose heartbeats come at the slow rate of a large site
 /// no longer counts as alive: two heartbeats and a margin.
-const REDUCED_PEER_TIMEOUT: Duration = Duration::from_millis(4_500);
+const SLOW_PEER_TIMEOUT: Duration = Duration::from_millis(4_500);
 /// Time without contact after which the leader removes a member's row.
 const REMOVE_MEMBER_AFTER: Duration = Duration::from_secs(60);
 
@@ -65,6 +65,7 @@
         self.own_row.end(self.registered, self.now);
     }
 
+    /// Handles a row of the cell's table: the leader's row, this instance's, or another member's.
     pub(super) fn handle_cell_row(&mut self, key: &RowKey, value: Option<&[u8]>, version: u64) {
         if key.part == LEAD_PART {
             if let Some(value) = value {
@@ -98,6 +99,7 @@
         peer.strength = row.map_or(peer.strength, |row| row.strength);
     }
 
+    /// Sends the heartbeats that are due, and gives their round-trip time to the load limit.
     pub(super) fn run_heartbeats(&mut self) {
         if self.now < self.next_heartbeat {
             return;
@@ -107,21 +109,21 @@
         if other_due {
             self.next_other_heartbeat = self.now + OTHER_HEARTBEAT_INTERVAL;
         }
-        let reduced_due = self.now >= self.next_slow_heartbeat;
-        if reduced_due {
-            self.next_slow_heartbeat = self.now + REDUCED_HEARTBEAT_INTERVAL;
+        let slow_due = self.now >= self.next_slow_heartbeat;
+        if slow_due {
+            self.next_slow_heartbeat = self.now + SLOW_HEARTBEAT_INTERVAL;
         }
         self.preferred = self.preferred_members();
-        let news = self.build_heartbeat();
-        for peer in self.heartbeat_targets(other_due, reduced_due) {
-            let news = self.heartbeat_for(peer, &news);
-            self.send_message(peer, PeerMessage::Heartbeat(news));
+        let heartbeat = self.build_heartbeat();
+        for peer in self.heartbeat_targets(other_due, slow_due) {
+            let heartbeat = self.heartbeat_for(peer, &heartbeat);
+            self.send_message(peer, PeerMessage::Heartbeat(heartbeat));
         }
-        let wait = self.min_round_trip();
+        let round_trip = self.min_round_trip();
         if let Some(lead) = self.lead.as_deref_mut() {
-            lead.round_trip_time = wait;
+            lead.round_trip_time = round_trip;
             lead.load
-                .note(self.now, wait.min(lead.link_delay(self.now)));
+                .note(self.now, round_trip.min(lead.link_delay(self.now)));
         }
         self.send_measurements();
         self.remove_lost_members();
@@ -164,6 +166,7 @@
         }
     }
 
+    /// Removes a member that has been out of contact for too long, if this instance leads.
     pub(super) fn remove_lost_members(&mut self) {
         let Some(lead) = self.lead.as_deref() else {
             return;
@@ -189,50 +192,51 @@
         self.send_store_request(StorePurpose::DropMember, request);
     }
 
-    pub(super) fn handle_heartbeat(&mut self, from: PeerAddress, news: HeartbeatBody) {
-        self.note_announced_version(from, news.table_version);
-        self.note_newest_version(news.table_version, news.table_age_ms);
-        self.finish_outgoing_copy(from, news.table_version);
+    pub(super) fn handle_heartbeat(&mut self, from: PeerAddress, heartbeat: HeartbeatBody) {
+        self.note_announced_version(from, heartbeat.table_version);
+        self.note_newest_version(heartbeat.table_version, heartbeat.table_age_ms);
+        self.finish_outgoing_copy(from, heartbeat.table_version);
         if let Some(lead) = &self.lead {
-            if news.epoch > lead.epoch {
+            if heartbeat.epoch > lead.epoch {
                 self.step_down("a peer reported a later epoch");
             }
         }
-        if news.store_trouble {
+        if heartbeat.store_trouble {
             self.probe_store();
         }
-        self.update_leader_contact(from, &news);
-        if news.leading {
-            self.note_leader_heartbeat(from, &news);
-        } else if self.is_new_process_of_leader(from, &news) {
+        self.update_leader_contact(from, &heartbeat);
+        if heartbeat.leading {
+            self.note_leader_heartbeat(from, &heartbeat);
+        } else if self.is_new_process_of_leader(from, &heartbeat) {
             self.mark_leader_gone();
             if let Some(leader) = self.leader.as_mut() {
-                leader.ended |= news.life > leader.life;
+                leader.ended |= heartbeat.life > leader.life;
             }
         }
         let now = self.now;
-        self.former_leaders.note_heartbeat(from, &news, now);
+        self.former_leaders.note_heartbeat(from, &heartbeat, now);
         let slow = self.has_slow_heartbeat(from);
         let peer = self.peers.entry(from).or_insert_with(|| PeerView {
             known_at: now,
             ..PeerView::default()
         });
-        if peer.heartbeat.life != news.life {
+        if peer.heartbeat.life != heartbeat.life {
             // Echoes from an earlier process of the peer say nothing about this one.
             peer.echo = PeerEcho::default();
         }
-        let lacks_leader = slow && news.leader_age_ms > LEADER_CONTACT_TIMEOUT.as_millis() as u64;
+        let lacks_leader =
+            slow && heartbeat.leader_age_ms > LEADER_CONTACT_TIMEOUT.as_millis() as u64;
         let answer_now = peer.last_contact.is_none() || lacks_leader;
         peer.last_contact = Some(now);
-        peer.strength = news.strength;
+        peer.strength = heartbeat.strength;
         peer.slow = slow;
-        peer.echo.note(now, &news);
-        peer.heartbeat = news;
+        peer.echo.note(now, &heartbeat);
+        peer.heartbeat = heartbeat;
         self.note_unreachable_leaders();
         if answer_now && self.lead.is_some() {
             // The peer should learn who leads without waiting for the next heartbeat.
-            let news = self.heartbeat_for(from, &self.build_heartbeat());
-            self.send_message(from, PeerMessage::Heartbeat(news));
+            let heartbeat = self.heartbeat_for(from, &self.build_heartbeat());
+            self.send_message(from, PeerMessage::Heartbeat(heartbeat));
         }
     }
 
@@ -241,20 +245,20 @@
     ///
     /// Only other members do so. Preferred members are in contact with the leader themselves, and
     /// their reports must not come back to them.
-    fn update_leader_contact(&mut self, from: PeerAddress, news: &HeartbeatBody) {
-        if !self.is_behind_hubs() || !self.preferred.contains(&from) || news.leading {
+    fn update_leader_contact(&mut self, from: PeerAddress, heartbeat: &HeartbeatBody) {
+        if !self.is_behind_hubs() || !self.preferred.contains(&from) || heartbeat.leading {
             return;
         }
         let at = self
             .now
-            .checked_sub(Duration::from_millis(news.leader_age_ms));
+            .checked_sub(Duration::from_millis(heartbeat.leader_age_ms));
         let Some((leader, at)) = self.leader.as_mut().zip(at) else {
             return;
         };
-        let same = news.leader == Some(leader.address) && news.epoch == leader.epoch;
+        let same = heartbeat.leader == Some(leader.address) && heartbeat.epoch == leader.epoch;
         if same && !leader.gone {
             leader.last_contact = leader.last_contact.max(at);
-            leader.refuse_percent = news.refuse_percent;
+            leader.refuse_percent = heartbeat.refuse_percent;
         }
     }
 
@@ -314,7 +318,7 @@
     /// Returns whether the last contact with the peer is recent enough that it counts as alive.
     pub(super) fn is_live(&self, now: CoreTime) -> bool {
         let timeout = if self.slow {
-            REDUCED_PEER_TIMEOUT
+            SLOW_PEER_TIMEOUT
         } else {
             PEER_TIMEOUT
         };
--- a/crates/bankvalve_queue/src/core/readiness.rs
+++ b/crates/bankvalve_queue/src/core/readiness.rs
@@ -67,19 +67,19 @@
     }
 
     /// Logs a request that timed out: what it asked for, how long ago, and where it was last sent.
-    pub(super) fn log_given_up(&mut self, ask: &OpenRequest) {
-        let kind = request_kind(&ask.request);
-        let sent = match ask.sent {
+    pub(super) fn log_given_up(&mut self, open: &OpenRequest) {
+        let kind = request_kind(&open.request);
+        let sent = match open.sent {
             Some((to, at)) => format!("last sent to {to} {:?} ago", self.age(at)),
             None => "not sent".to_owned(),
         };
         let detail = format!(
             "{kind} after {:?}, {sent}, {} copies unanswered, {}",
-            self.age(ask.since),
-            ask.copies,
+            self.age(open.since),
+            open.copies,
             self.leader_text()
         );
-        self.log("callers", "give_up", job_text(&ask.request), detail);
+        self.log("callers", "give_up", job_text(&open.request), detail);
     }
 
     /// Describes the leader and the age of the last contact with it.
--- a/crates/bankvalve_queue/src/core/round_trip.rs
+++ b/crates/bankvalve_queue/src/core/round_trip.rs
@@ -37,10 +37,10 @@
 
 impl PeerEcho {
     /// Records a heartbeat and its echo.
-    pub(super) fn note(&mut self, now: CoreTime, news: &HeartbeatBody) {
-        self.last_heartbeat = Some((news.sent_ms, now));
+    pub(super) fn note(&mut self, now: CoreTime, heartbeat: &HeartbeatBody) {
+        self.last_heartbeat = Some((heartbeat.sent_ms, now));
         self.first_heartbeat.get_or_insert(now);
-        let Some(echo) = &news.echo else {
+        let Some(echo) = &heartbeat.echo else {
             return;
         };
         let elsewhere = Duration::from_millis(echo.sent_ms + echo.held_ms);
@@ -87,14 +87,18 @@
 
 impl EntryCore {
     /// Adds the parts of a heartbeat that are specific to one peer.
-    pub(super) fn heartbeat_for(&self, peer: PeerAddress, news: &HeartbeatBody) -> HeartbeatBody {
+    pub(super) fn heartbeat_for(
+        &self,
+        peer: PeerAddress,
+        heartbeat: &HeartbeatBody,
+    ) -> HeartbeatBody {
         HeartbeatBody {
             sent_ms: self.now.as_millis() as u64,
             echo: self
                 .peers
                 .get(&peer)
                 .and_then(|view| view.echo.echo(self.now)),
-            ..news.clone()
+            ..heartbeat.clone()
         }
     }
 
@@ -105,7 +109,7 @@
         let peer = leader.and_then(|leader| self.peers.get(&leader));
         let echo = peer.map(|peer| &peer.echo);
         let time = if self.is_behind_hubs() {
-            // Echoes come at the reduced rate. An overdue one would count as a round trip of a second
+            // Echoes come at the slow rate. An overdue one would count as a round trip of a second
             // and a half, and the request would be repeated when its caller's time has almost run out.
             // The hubs' reports of lost contact with the leader hold requests back sooner.
             echo.and_then(|echo| echo.last_round_trip)
--- a/crates/bankvalve_queue/src/core/table_pull.rs
+++ b/crates/bankvalve_queue/src/core/table_pull.rs
@@ -24,8 +24,9 @@
 pub(super) struct PeerPull {
     /// Peer that sends the configuration, and the deadline for its arrival.
     source: Option<(PeerAddress, CoreTime)>,
-    /// Number of peers asked in this round, and number of rounds since a configuration arrived.
+    /// Number of peers asked in this round.
     asked_count: usize,
+    /// Number of rounds since a configuration arrived.
     round_count: usize,
     /// When the next peers are asked.
     next_at: CoreTime,
@@ -135,7 +136,7 @@
     /// Sends the configuration to a peer that has accepted the offer.
     pub(super) fn handle_table_taken(&mut self, from: PeerAddress) {
         if self.is_sending_copy(from) {
-            // Another peer accepted first. This one asks again once it is refused.
+            // Another peer accepted first. After the refusal, this one asks again.
             self.counters.count("config", "pull_refused");
             self.send_message(from, PeerMessage::TableRefused);
             return;
--- a/crates/bankvalve_queue/src/core/table_watch.rs
+++ b/crates/bankvalve_queue/src/core/table_watch.rs
@@ -2,8 +2,8 @@
 //!
 //! Each instance watches the table. Heartbeats contain the version that a peer has in force. An
 //! instance that is behind sends a separate query to the table, since its watch may no longer deliver
-//! anything. Only if the table does not answer does it ask a peer (`table_pull`). A configuration is
-//! sent only on request, since a large one fills a slow link for a second.
+//! anything. It asks a peer only if the table does not answer (`table_pull`). Peers send a configuration
+//! only on request, since a large one fills a slow link for a second.
 
 use std::time::Duration;
 
@@ -65,9 +65,10 @@
     next_query_at: CoreTime,
     /// Request whose answer has begun to arrive.
     arriving: Option<Ticket>,
-    /// Newest version that a peer has announced, when it did, and since when this instance is behind.
+    /// Newest version that a peer has announced.
     announced: u64,
     announced_at: CoreTime,
+    /// When a version was announced that is newer than the one in force.
     behind_since: CoreTime,
     /// The configuration as the operator wrote it.
     pub(super) raw: Vec<u8>,
@@ -111,7 +112,7 @@
     fn watch_operator(&mut self) {
         let now = self.now;
         let tables = &mut self.tables;
-        // The answer to a query contains the same.
+        // The answer to a query contains the same changes.
         if !tables.watch.is_due(now) || tables.query.is_some() {
             return;
         }
@@ -163,7 +164,7 @@
     }
 
     /// Records that the configuration in force was the newest at a time.
-    fn note_newest(&mut self, at: CoreTime) {
+    fn record_newest_at(&mut self, at: CoreTime) {
         let newest = &mut self.tables.newest_at;
         *newest = (*newest).max(Some(at));
     }
@@ -175,7 +176,7 @@
         };
         let at = self.now.checked_sub(Duration::from_millis(age_ms));
         if let Some(at) = at {
-            self.note_newest(at);
+            self.record_newest_at(at);
         }
     }
 
@@ -202,7 +203,7 @@
         self.log("config", "announced", version.to_string(), detail);
     }
 
-    /// Handles the start of an answer to a request, which is arriving.
+    /// Records that an answer about the configuration has begun to arrive.
     pub(super) fn store_begins(&mut self, ticket: Ticket) {
         let request = self.open_store_requests.get(&ticket);
         let purpose = request.map(|request| &request.purpose);
@@ -216,7 +217,7 @@
         }
     }
 
-    /// Records that an answer has arrived completely, or will not arrive.
+    /// Records that an answer has arrived completely, or will not.
     pub(super) fn store_arrived(&mut self, ticket: Ticket) {
         if self.tables.arriving == Some(ticket) {
             self.tables.arriving = None;
@@ -290,7 +291,7 @@
             self.tables.announced = 0;
             self.tables.next_query_at = self.now + UNREADABLE_RETRY_DELAY;
         } else {
-            // The version up to which changes were known is wrong, so all is read again.
+            // The version up to which changes were known is wrong, so the next request reads all.
             self.log("config", "missed", version, String::new());
             self.tables.watch.after = None;
         }
@@ -316,7 +317,7 @@
         if let Some(table) = news.table {
             self.use_table(table, news.raw, TableSource::Table);
         }
-        self.note_newest(asked_at);
+        self.record_newest_at(asked_at);
         true
     }
 
@@ -329,7 +330,7 @@
             let detail = format!("from {source:?}, {known} is in force");
             self.log("config", "older", version.to_string(), detail);
         }
-        // The complete row is read again when the table has dropped its history.
+        // The same version arrives again if the table has dropped its history and all is read again.
         let same = self.table.is_some() && known == version;
         if same || (older && self.enforces(SiteGuard::NewerTable)) {
             return;
