--- a/crates/bankvalve_queue/src/core/table_watch.rs
+++ b/crates/bankvalve_queue/src/core/table_watch.rs
@@ -68,7 +68,7 @@
     /// Newest version that a peer has announced.
     announced: u64,
     announced_at: CoreTime,
-    /// When a version was announced that is newer than the one in force.
+    /// Since when this instance has been behind an announced version.
     behind_since: CoreTime,
     /// The configuration as the operator wrote it.
     pub(super) raw: Vec<u8>,
