--- a/crates/bankvalve_queue/src/core/commit.rs
+++ b/crates/bankvalve_queue/src/core/commit.rs
@@ -1,4 +1,5 @@
-//! Keeping the ledger: events are gathered and written under the leader's row.
+//! Commits events to the ledger: collects them into batches and writes the batches to the table on
+//! condition that the leader's row is unchanged.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -14,89 +15,94 @@
 use crate::peer::{PeerAddress, PeerMessage};
 use crate::store::{RowCondition, RowKey, RowWrite, StoreOutcome, StoreRequest, StoredRow};
 
-/// Most events in one batch, which is a row.
-const BATCH_EVENTS: usize = 400;
-/// Most rows in one write, of 64 KiB each in the table's encoding: well below the 1 MB that a
-/// transaction takes. A slow table takes some half a second for a write, however long it is.
-const WRITE_ROWS: usize = 10;
-/// Share of the longest row that a batch may take, since values grow when they are encoded.
-const ROW_SHARE: usize = 2;
-/// Time between the starts of two commits: events that come meanwhile go together.
-const COMMIT_PACE: Duration = Duration::from_millis(24);
-/// Longest wait for the answer to a write. It only frees the connection: whether the write was done
-/// is read back long before.
-const COMMIT_TIME: Duration = Duration::from_millis(3_000);
-/// Pause after a write that was refused.
-const BUSY_PAUSE: Duration = Duration::from_millis(60);
-/// Copies of one write that the table turned away, after which it counts as away.
-const REFUSED_AWAY: u32 = 3;
-/// A write without an answer for so long, while nothing else has one: the table counts as away.
-const STORE_AWAY: Duration = Duration::from_millis(1_100);
-/// A table that has answered anything so lately is there, if only slow.
-const STORE_HEARD: Duration = Duration::from_millis(800);
-/// A write without an answer for so long: the table counts as away whatever else it answers.
-const STORE_STUCK: Duration = Duration::from_millis(3_000);
+/// Maximum number of events in a batch. Each batch is one row.
+const MAX_BATCH_EVENTS: usize = 400;
+/// Maximum number of rows in one write. A row is up to 64 KiB in the table's encoding, so a write stays
+/// well below the limit of 1 MB per transaction. A slow table takes about half a second for a write of
+/// any size, so several rows are written together.
+const MAX_WRITE_ROWS: usize = 10;
+/// Divisor of the maximum row size that gives the maximum size of a batch: values grow when they are
+/// encoded.
+const ROW_BYTES_DIVISOR: usize = 2;
+/// Minimum time between the starts of two commits. Events that arrive in between are committed together.
+const COMMIT_INTERVAL: Duration = Duration::from_millis(24);
+/// Timeout of a write. It only frees the connection: long before, the row is read back to find out
+/// whether the write was applied.
+const COMMIT_TIMEOUT: Duration = Duration::from_millis(3_000);
+/// Pause before a refused write is sent again.
+const REFUSED_PAUSE: Duration = Duration::from_millis(60);
+/// Number of refused copies of one write after which the table counts as unavailable.
+const UNAVAILABLE_REFUSALS: u32 = 3;
+/// Age of an unanswered write from which the table counts as unavailable, if it has not answered any
+/// request within [`RECENT_ANSWER`] either.
+const UNANSWERED_LIMIT: Duration = Duration::from_millis(1_100);
+/// Time after any answer of the table during which it counts as available, even if slow.
+const RECENT_ANSWER: Duration = Duration::from_millis(800);
+/// Age of an unanswered write from which the table counts as unavailable even if it answers other
+/// requests.
+const STUCK_WRITE_LIMIT: Duration = Duration::from_millis(3_000);
 
-/// Who asked.
+/// Where a caller's request came from, and where its answer goes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Origin {
-    /// A caller of this instance.
-    Own(Ticket),
-    /// A caller of a peer.
+    /// A caller that is connected to this instance.
+    Local(Ticket),
+    /// A peer that forwards a caller's request.
     Peer(PeerAddress, Ticket),
 }
 
-/// What follows once an event is kept.
+/// Action that follows once an event, and all events before it, are committed.
 #[derive(Clone, Debug)]
 pub(super) enum Effect {
     None,
     Answer(Origin, CallerAnswer),
     Order(TaskKey, u64),
+    /// Lets the next poll of a worker acknowledge its ended runs up to a number.
     ForgetEnd(Incarnation, u64),
-    /// A job is over.
+    /// Logs that a job has ended.
     Over(JobId),
-    /// A worker's hold may be prolonged again.
+    /// Resumes the renewal of a worker's lease.
     ProlongHold(WorkerId),
 }
 
-/// An event that is to be kept; without one, the effect waits for those before it.
+/// An event to commit, or only an effect that waits until the events before it are committed.
 #[derive(Debug)]
 pub(super) struct Proposal {
     pub(super) event: Option<LedgerEvent>,
     pub(super) effect: Effect,
 }
 
-/// Batches that are being written.
+/// A write of batches that is in flight.
 #[derive(Debug)]
 pub(super) struct CommitFlight {
-    /// Number of the first batch.
+    /// Sequence number of the first batch.
     pub(super) sequence: u64,
-    /// The batches, encoded.
+    /// The encoded batches.
     pub(super) rows: Vec<Vec<u8>>,
     pub(super) events: Vec<LedgerEvent>,
-    /// What follows, and whether it came with an event.
+    /// Effects in the order of their proposals, and whether each proposal has an event.
     pub(super) effects: Vec<(bool, Effect)>,
     pub(super) since: CoreTime,
-    /// Copies that have no answer yet.
+    /// Unanswered copies of the write.
     pub(super) copies: u32,
     pub(super) sent_at: CoreTime,
     pub(super) next_at: CoreTime,
-    /// When it is read back whether it was done, unless that is asked already.
+    /// When to read back whether the write was applied, unless such a read is pending.
     pub(super) check_at: CoreTime,
     pub(super) checking: bool,
-    /// Whether a copy had no answer, so that it may have been done or be done later.
+    /// Whether a copy timed out, so that it may have been applied or may still be applied.
     pub(super) uncertain: bool,
-    /// Copies that the table surely did not carry out.
+    /// Copies that the table refused and therefore did not apply.
     pub(super) refused: u32,
 }
 
 impl EntryCore {
-    /// Applies an event at once and has it kept; the effect follows when it is.
+    /// Applies an event to the book at once and queues it for commit. The effect follows the commit.
     pub(super) fn propose(&mut self, event: LedgerEvent, effect: Effect) {
         let job = event.job();
         let was_open = job.is_some_and(|job| self.is_open(job));
         self.apply_event(&event);
-        let over = job.filter(|job| was_open && !self.is_open(*job));
+        let ended = job.filter(|job| was_open && !self.is_open(*job));
         let Some(lead) = self.lead.as_deref_mut() else {
             return;
         };
@@ -108,7 +114,7 @@
             event: Some(event),
             effect,
         });
-        if let Some(job) = over {
+        if let Some(job) = ended {
             lead.ending.insert(job);
             self.follow_up(Effect::Over(job));
         }
@@ -119,8 +125,8 @@
         record.is_some_and(|record| record.outcome == JobOutcome::Open)
     }
 
-    /// Logs that the end of a job is kept.
-    fn note_over(&mut self, job: JobId) {
+    /// Logs the end of a job, which has been committed.
+    fn log_job_end(&mut self, job: JobId) {
         let now = self.now;
         if let Some(lead) = self.lead.as_deref_mut() {
             lead.ending.remove(&job);
@@ -130,12 +136,15 @@
             return;
         };
         let age = self.wall.saturating_sub(record.accepted_at);
-        let detail = format!("{:?} kept {age} ms after its acceptance", record.outcome);
+        let detail = format!(
+            "{:?} committed {age} ms after its acceptance",
+            record.outcome
+        );
         let given_up = record.given_up_task().map(|(task, count)| {
             let ends: Vec<String> = count.ends().iter().map(CrashEnd::to_string).collect();
             let (ends, chance) = (ends.join("; "), count.chance_ppm());
             let detail =
-                format!("workers ended under it, {chance:.3} in a million by chance: {ends}");
+                format!("workers ended while they ran the task, odds by chance {chance:.3} in a million: {ends}");
             (task.to_string(), detail)
         });
         self.counters.count("jobs", "over");
@@ -146,7 +155,7 @@
         }
     }
 
-    /// Has an effect follow once all events before it are kept.
+    /// Queues an effect that follows once all events proposed so far are committed.
     pub(super) fn follow_up(&mut self, effect: Effect) {
         if let Some(lead) = self.lead.as_deref_mut() {
             lead.pending.push_back(Proposal {
@@ -156,6 +165,7 @@
         }
     }
 
+    /// Starts the time for which the table has not answered, unless it is running already.
     pub(super) fn note_store_question(&mut self) {
         let now = self.now;
         if let Some(lead) = self.lead.as_deref_mut() {
@@ -163,7 +173,7 @@
         }
     }
 
-    /// Tells whether the table has left a write unanswered for long.
+    /// Returns whether the table counts as unavailable: it refuses writes or leaves one unanswered.
     pub(super) fn store_is_away(&self) -> bool {
         let Some(lead) = self.lead.as_deref() else {
             return false;
@@ -172,14 +182,18 @@
         lead.away_since.is_some()
             || flight.is_some_and(|flight| {
                 let age = self.age(flight.since);
-                let silent = self.store_heard.is_none_or(|at| self.age(at) > STORE_HEARD);
-                flight.refused >= REFUSED_AWAY || (silent && age > STORE_AWAY) || age > STORE_STUCK
+                let unresponsive = self
+                    .store_heard
+                    .is_none_or(|at| self.age(at) > RECENT_ANSWER);
+                flight.refused >= UNAVAILABLE_REFUSALS
+                    || (unresponsive && age > UNANSWERED_LIMIT)
+                    || age > STUCK_WRITE_LIMIT
             })
     }
 
     pub(super) fn run_commit(&mut self) {
         let now = self.now;
-        let row_bytes = self.settings.row_bytes / ROW_SHARE;
+        let row_bytes = self.settings.row_bytes / ROW_BYTES_DIVISOR;
         let Some(lead) = self.lead.as_deref_mut() else {
             return;
         };
@@ -196,7 +210,7 @@
         let mut rows = Vec::new();
         let mut events = Vec::new();
         let mut effects = Vec::new();
-        while rows.len() < WRITE_ROWS && !lead.pending.is_empty() {
+        while rows.len() < MAX_WRITE_ROWS && !lead.pending.is_empty() {
             let batch = take_batch(&mut lead.pending, row_bytes, &mut effects);
             if batch.events.is_empty() {
                 break;
@@ -208,7 +222,7 @@
             self.run_effects(effects);
             return;
         }
-        lead.next_commit_at = now + COMMIT_PACE;
+        lead.next_commit_at = now + COMMIT_INTERVAL;
         lead.flight = Some(CommitFlight {
             sequence: lead.sequence + 1,
             rows,
@@ -218,7 +232,7 @@
             copies: 1,
             sent_at: now,
             next_at: now,
-            check_at: now + lead.check_pause(),
+            check_at: now + lead.commit_check_delay(),
             checking: false,
             uncertain: false,
             refused: 0,
@@ -245,7 +259,7 @@
                 key: leader,
                 version: lead.row_version,
             },
-            // The others follow it in the same write, so it stands for all of them.
+            // The other batches are written in the same transaction, so checking the first one is enough.
             RowCondition {
                 key: batch_row(flight.sequence),
                 version: 0,
@@ -262,7 +276,7 @@
             sent_at: self.now,
         };
         self.note_store_question();
-        self.ask_store_within(purpose, request, COMMIT_TIME);
+        self.ask_store_within(purpose, request, COMMIT_TIMEOUT);
     }
 
     pub(super) fn end_commit(&mut self, sequence: u64, sent_at: CoreTime, outcome: StoreOutcome) {
@@ -270,8 +284,8 @@
         let Some(lead) = self.lead.as_deref_mut() else {
             return;
         };
-        let own = |flight: &CommitFlight| flight.sequence == sequence;
-        if !lead.flight.as_ref().is_some_and(own) {
+        let is_current = |flight: &CommitFlight| flight.sequence == sequence;
+        if !lead.flight.as_ref().is_some_and(is_current) {
             return;
         }
         if matches!(
@@ -286,12 +300,12 @@
         match outcome {
             StoreOutcome::Applied { .. } => self.finish_commit(sent_at),
             StoreOutcome::Conflict { rows } => {
-                let own = own_batch_stands(&rows, flight, lead.row_version);
-                if own {
+                let applied = own_batch_is_stored(&rows, flight, lead.row_version);
+                if applied {
                     let begun_at = flight.since;
                     self.finish_commit(begun_at);
                 } else {
-                    self.depose("a write under the own row was refused");
+                    self.depose("a write was refused because this leader's row has changed");
                     self.read_leader_row();
                 }
             }
@@ -303,15 +317,18 @@
             }
             _ => {
                 flight.copies = flight.copies.saturating_sub(1);
-                flight.next_at = now + BUSY_PAUSE;
+                flight.next_at = now + REFUSED_PAUSE;
                 flight.refused += 1;
                 self.withdraw_unkept();
             }
         }
     }
 
-    /// The write on its way is kept, and the own row stood at a time or later. It goes by when that was
-    /// asked: an answer may have waited while this instance stood still, and others lead meanwhile.
+    /// Completes the in-flight write, which has been applied.
+    ///
+    /// `confirmed_at` is when the request was sent that showed this leader's row to be unchanged. The
+    /// time of the answer would be wrong: while an answer waits in a frozen instance, another instance
+    /// may become the leader.
     pub(super) fn finish_commit(&mut self, confirmed_at: CoreTime) {
         let now = self.now;
         let Some(lead) = self.lead.as_deref_mut() else {
@@ -338,21 +355,21 @@
         self.counters.count("commits", "kept");
         let standbys = self.live_standbys();
         for (sequence, row) in (flight.sequence..).zip(flight.rows) {
-            self.tell_standbys(&standbys, limited, epoch, sequence, row);
+            self.send_to_standbys(&standbys, limited, epoch, sequence, row);
         }
         self.run_effects(flight.effects);
     }
 
-    /// Sends a batch that is kept to the standbys: by itself to each, or, where the leader is short of
-    /// means, to the first of them, which passes it on.
+    /// Sends a committed batch to the standbys: to each of them, or, if the leader was recently
+    /// overloaded, only to the first one, which passes it on to the next.
     ///
-    /// By value to five standbys the ledger is half of all that the leader sends, 330 of some 620
-    /// bytes a start. Passed on it reaches the last one four ways later; while one of them is cut off
-    /// those behind it read it from the table.
-    fn tell_standbys(
+    /// Copies for five standbys are half of what the leader sends: 330 of about 620 bytes per started
+    /// task. A batch that is passed on takes four more hops to the last standby. While one standby is
+    /// unreachable, those behind it read the batch from the table.
+    fn send_to_standbys(
         &mut self,
         standbys: &[PeerAddress],
-        passed_on: bool,
+        chained: bool,
         epoch: u64,
         sequence: u64,
         row: Vec<u8>,
@@ -364,7 +381,7 @@
             onward: onward.to_vec(),
         };
         match standbys.split_first() {
-            Some((first, others)) if passed_on => self.tell(*first, committed(row, others)),
+            Some((first, others)) if chained => self.tell(*first, committed(row, others)),
             _ => {
                 for peer in standbys {
                     self.tell(*peer, committed(row.clone(), &[]));
@@ -379,7 +396,7 @@
                 Effect::None => {}
                 Effect::Answer(origin, answer) => self.answer(origin, answer),
                 Effect::Order(task, run) => self.begin_order(task, run),
-                Effect::Over(job) => self.note_over(job),
+                Effect::Over(job) => self.log_job_end(job),
                 Effect::ProlongHold(worker) => self.prolong_again(&worker),
                 Effect::ForgetEnd(incarnation, number) => {
                     if let Some(lead) = self.lead.as_deref_mut() {
@@ -398,7 +415,7 @@
 
     pub(super) fn answer(&mut self, origin: Origin, answer: CallerAnswer) {
         match origin {
-            Origin::Own(ticket) => self.end_ask(ticket, answer),
+            Origin::Local(ticket) => self.end_ask(ticket, answer),
             Origin::Peer(peer, ticket) => {
                 let answer = Some(answer);
                 self.tell_through_hub(peer, PeerMessage::Reply { ticket, answer });
@@ -406,7 +423,7 @@
         }
     }
 
-    /// Has a leader's reading of the ledger go on: at the time set, or if nothing else sees to it.
+    /// Requests the next page of the ledger for a new leader, if it is due and none is pending.
     pub(super) fn run_loading(&mut self) {
         let Some(lead) = self.lead.as_deref().filter(|lead| !lead.loaded) else {
             return;
@@ -425,7 +442,7 @@
         self.read_ledger();
     }
 
-    /// The book holds the whole ledger.
+    /// Ends a new leader's loading: its book contains the entire ledger.
     pub(super) fn end_loading(&mut self) {
         let applied = self.applied;
         if let Some(lead) = self.lead.as_deref_mut() {
@@ -441,7 +458,7 @@
     RowKey::new(LEDGER_TABLE, LEAD_PART, batch_key(sequence))
 }
 
-/// Takes as many events as one row holds, with what follows when they are kept.
+/// Moves as many pending events as fit into one row to a batch, and their effects to `effects`.
 fn take_batch(
     pending: &mut VecDeque<Proposal>,
     row_bytes: usize,
@@ -450,47 +467,48 @@
     let mut batch = LedgerBatch::default();
     let mut bytes = 0;
     while let Some(proposal) = pending.front() {
-        bytes += proposal.event.as_ref().map_or(0, rough_bytes);
+        bytes += proposal.event.as_ref().map_or(0, estimate_bytes);
         let full = bytes > row_bytes && !batch.events.is_empty();
-        if batch.events.len() >= BATCH_EVENTS || full || is_of_another_kind(&batch, proposal) {
+        if batch.events.len() >= MAX_BATCH_EVENTS || full || mixes_kinds(&batch, proposal) {
             break;
         }
-        let proposal = pending.pop_front().expect("it was just seen");
+        let proposal = pending.pop_front().expect("the queue is not empty");
         effects.push((proposal.event.is_some(), proposal.effect));
         batch.events.extend(proposal.event);
     }
     batch
 }
 
-/// Tells whether an event is about a worker and those of the batch about jobs, or the other way round:
-/// a batch that an instance cannot read, since it is of an older version, must not hold events of
-/// jobs that it can.
-fn is_of_another_kind(batch: &LedgerBatch, next: &Proposal) -> bool {
+/// Returns whether the next event is about a worker and the batch about jobs, or the reverse.
+///
+/// They are not mixed: an instance of an older version skips a batch with worker events that it cannot
+/// decode, and must not miss job events that it could decode.
+fn mixes_kinds(batch: &LedgerBatch, next: &Proposal) -> bool {
     let first = batch.events.first().zip(next.event.as_ref());
     first.is_some_and(|(first, next)| first.job().is_some() != next.job().is_some())
 }
 
-/// Tells whether the rows of a conflict show that an earlier copy of the write was done.
-fn own_batch_stands(rows: &[StoredRow], flight: &CommitFlight, row_version: u64) -> bool {
+/// Returns whether the rows of a conflict show that an earlier copy of the write was applied.
+fn own_batch_is_stored(rows: &[StoredRow], flight: &CommitFlight, row_version: u64) -> bool {
     let key = batch_row(flight.sequence);
-    let leader_stands = rows
+    let leader_row_unchanged = rows
         .iter()
         .any(|row| row.key.table == CELL_TABLE && row.version == row_version);
-    let batch_stands = rows
+    let batch_is_stored = rows
         .iter()
         .any(|row| row.key == key && row.value == flight.rows[0]);
-    leader_stands && batch_stands
+    leader_row_unchanged && batch_is_stored
 }
 
-/// Bytes that an event takes, roughly.
-fn rough_bytes(event: &LedgerEvent) -> usize {
-    /// An event without texts, encoded.
-    const SMALL: usize = 64;
-    /// A step of a job, encoded.
+/// Estimates the encoded size of an event, in bytes.
+fn estimate_bytes(event: &LedgerEvent) -> usize {
+    /// Encoded size of an event without its texts, in bytes.
+    const EVENT: usize = 64;
+    /// Encoded size of a step of a job, in bytes.
     const STEP: usize = 96;
     match event {
-        LedgerEvent::Accepted { spec, .. } => SMALL + spec.payload.len() + STEP * spec.steps.len(),
-        LedgerEvent::Ended { saved, .. } => SMALL + saved.len(),
-        _ => SMALL,
+        LedgerEvent::Accepted { spec, .. } => EVENT + spec.payload.len() + STEP * spec.steps.len(),
+        LedgerEvent::Ended { saved, .. } => EVENT + saved.len(),
+        _ => EVENT,
     }
 }
--- a/crates/bankvalve_queue/src/core/confirm.rs
+++ b/crates/bankvalve_queue/src/core/confirm.rs
@@ -1,4 +1,4 @@
-//! Making sure that the own row still stands, when nothing is being kept.
+//! Confirms, while nothing is being committed, that this leader's row is unchanged.
 
 use std::time::Duration;
 
@@ -6,29 +6,30 @@
 use super::EntryCore;
 use crate::store::{StoreOutcome, StoreRequest};
 
-/// Silence after which the leader asks whether it still leads.
-const CONFIRM_EVERY: Duration = Duration::from_millis(600);
-/// Time between two such questions while the table is away.
-const AWAY_CONFIRM: Duration = Duration::from_millis(120);
+/// Time since the last confirmation after which the leader reads its row again.
+const CONFIRM_INTERVAL: Duration = Duration::from_millis(600);
+/// Time between two such reads while the table is unavailable.
+const UNAVAILABLE_CONFIRM_INTERVAL: Duration = Duration::from_millis(120);
 
 impl EntryCore {
-    /// Asks whether the own row still stands, if nothing has been kept for a while.
+    /// Reads the leader's row if nothing has confirmed it for a while, or if requests wait for a
+    /// confirmation.
     pub(super) fn run_confirm(&mut self) {
         let now = self.now;
         let Some(lead) = self.lead.as_deref_mut() else {
             return;
         };
-        let pace = match lead.away_since {
-            Some(_) => AWAY_CONFIRM,
-            None => CONFIRM_EVERY,
+        let interval = match lead.away_since {
+            Some(_) => UNAVAILABLE_CONFIRM_INTERVAL,
+            None => CONFIRM_INTERVAL,
         };
-        let due = now.saturating_sub(lead.confirmed_at) > pace && now >= lead.next_confirm;
+        let due = now.saturating_sub(lead.confirmed_at) > interval && now >= lead.next_confirm;
         let wanted = !lead.confirm_waiting.is_empty() || due;
         if !wanted || lead.confirming.is_some() {
             return;
         }
         lead.confirming = Some(now);
-        lead.next_confirm = now + pace;
+        lead.next_confirm = now + interval;
         let request = StoreRequest::Read {
             table: CELL_TABLE.to_owned(),
             part: LEAD_PART.to_owned(),
@@ -51,7 +52,7 @@
         };
         lead.note_store_answer();
         if !rows.iter().any(|row| row.version == lead.row_version) {
-            self.depose("the row names another leader");
+            self.depose("the leader's row has changed");
             self.take_leader_rows(rows);
             return;
         }
@@ -63,11 +64,12 @@
             return;
         }
         let waiting = std::mem::take(&mut lead.confirm_waiting);
-        let (ready, later): (Vec<_>, Vec<_>) =
-            waiting.into_iter().partition(|ask| ask.at <= asked_at);
+        let (ready, later): (Vec<_>, Vec<_>) = waiting
+            .into_iter()
+            .partition(|waiting| waiting.at <= asked_at);
         lead.confirm_waiting = later;
-        for ask in ready {
-            self.serve_unknown(ask);
+        for waiting in ready {
+            self.serve_confirmed(waiting);
         }
     }
 }
--- a/crates/bankvalve_queue/src/core/ledger_page.rs
+++ b/crates/bankvalve_queue/src/core/ledger_page.rs
@@ -1,28 +1,29 @@
-//! Pages in which the ledger is read: as large as the link carries in a fraction of a second.
+//! Size and timeout of the pages in which the ledger is read. A page should be as large as the link
+//! transfers in a fraction of a second.
 
 use std::time::Duration;
 
 use crate::ids::CoreTime;
 
-/// Rows of the first page: some 55 KB on the busiest sites, which a link of 2 Mbit/s carries in
-/// 0.2 s; on a wide one it grows fourfold with each page.
-const FIRST_ROWS: u32 = 32;
-/// Least and most rows of a page; the table gives no more than the latter.
-const LEAST_ROWS: u32 = 4;
-const MOST_ROWS: u32 = 500;
-/// First and longest wait for a page; a row of 64 KiB takes 0.35 s on a link of 2 Mbit/s.
-const FIRST_TIME: Duration = Duration::from_millis(900);
-const LONGEST_TIME: Duration = Duration::from_millis(4_000);
-/// Pages that the link carries sooner are enlarged, those that take it longer made smaller; the
-/// table's own time for an answer says nothing of the link.
-const SOON: Duration = Duration::from_millis(150);
-const LATE: Duration = Duration::from_millis(450);
-/// Pages that it carries in this part of the former time, as a divisor, are enlarged twice as much.
-const VERY_SOON: u32 = 4;
-/// A page is waited for this many times as long as a small answer takes, at least.
+/// Number of rows of the first page: about 55 KB on the busiest sites, which a link of 2 Mbit/s
+/// transfers in 0.2 s. On a fast link each page is four times as large as the one before.
+const INITIAL_ROWS: u32 = 32;
+/// Minimum and maximum number of rows of a page. The table returns no more than the maximum.
+const MIN_ROWS: u32 = 4;
+const MAX_ROWS: u32 = 500;
+/// Initial and maximum timeout of a page. A row of 64 KiB takes 0.35 s on a link of 2 Mbit/s.
+const INITIAL_TIMEOUT: Duration = Duration::from_millis(900);
+const MAX_PAGE_TIMEOUT: Duration = Duration::from_millis(4_000);
+/// Transfer times of a page below which the next one is larger, and above which it is smaller. They do
+/// not include the latency of the table, which says nothing about the link.
+const FAST_PAGE: Duration = Duration::from_millis(150);
+const SLOW_PAGE: Duration = Duration::from_millis(450);
+/// Divisor of [`FAST_PAGE`] that gives the transfer time below which the next page is four times as large.
+const VERY_FAST_DIVISOR: u32 = 4;
+/// Multiple of the latency of a small answer that the timeout is raised to.
 const LATENCY_FACTOR: u32 = 4;
 
-/// How the ledger is read.
+/// Size and timeout of the next page of the ledger.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct LedgerPage {
     pub(super) rows: u32,
@@ -33,38 +34,40 @@
 impl Default for LedgerPage {
     fn default() -> Self {
         Self {
-            rows: FIRST_ROWS,
-            time: FIRST_TIME,
+            rows: INITIAL_ROWS,
+            time: INITIAL_TIMEOUT,
             asked_at: CoreTime::ZERO,
         }
     }
 }
 
 impl LedgerPage {
-    /// Wait for the next page, where a small answer takes so long.
+    /// Returns the timeout of the next page, given the latency of a small answer.
     pub(super) fn time_to_wait(&self, latency: Duration) -> Duration {
-        self.time.max(latency * LATENCY_FACTOR).min(LONGEST_TIME)
+        self.time
+            .max(latency * LATENCY_FACTOR)
+            .min(MAX_PAGE_TIMEOUT)
     }
 
-    /// A page came so long after it was asked for, where a small answer takes so long; one that was
-    /// not full, at the end of the ledger, does not tell that a larger one comes as soon.
+    /// Adjusts size and timeout after a page that took `took`, given the latency of a small answer. A
+    /// page that was not full, at the end of the ledger, does not show that a larger one is as fast.
     pub(super) fn note_came(&mut self, full: bool, took: Duration, latency: Duration) {
-        let carried = took.saturating_sub(latency);
-        if carried > LATE {
-            self.rows = (self.rows / 2).max(LEAST_ROWS);
-        } else if full && carried < SOON / VERY_SOON {
-            self.rows = (self.rows * 4).min(MOST_ROWS);
-        } else if full && carried < SOON {
-            self.rows = (self.rows * 2).min(MOST_ROWS);
+        let transfer = took.saturating_sub(latency);
+        if transfer > SLOW_PAGE {
+            self.rows = (self.rows / 2).max(MIN_ROWS);
+        } else if full && transfer < FAST_PAGE / VERY_FAST_DIVISOR {
+            self.rows = (self.rows * 4).min(MAX_ROWS);
+        } else if full && transfer < FAST_PAGE {
+            self.rows = (self.rows * 2).min(MAX_ROWS);
         }
-        self.time = self.time.max(took * 2).min(LONGEST_TIME);
+        self.time = self.time.max(took * 2).min(MAX_PAGE_TIMEOUT);
     }
 
-    /// A page did not come: the next one has more time, and is smaller unless the table is slow.
+    /// Doubles the timeout after a missing page, and reduces the size unless the table itself is slow.
     pub(super) fn note_missed(&mut self, latency: Duration) {
         if latency < self.time / 2 {
-            self.rows = (self.rows / 4).max(LEAST_ROWS);
+            self.rows = (self.rows / 4).max(MIN_ROWS);
         }
-        self.time = (self.time * 2).min(LONGEST_TIME);
+        self.time = (self.time * 2).min(MAX_PAGE_TIMEOUT);
     }
 }
--- a/crates/bankvalve_queue/src/core/log_budget.rs
+++ b/crates/bankvalve_queue/src/core/log_budget.rs
@@ -1,4 +1,4 @@
-//! Decisions' log lines, and how many of a kind are logged in a second.
+//! Log lines of decisions, and the limit of lines of one kind per second.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -8,21 +8,21 @@
 use crate::decision::DecisionLine;
 use crate::ids::CoreTime;
 
-/// Lines of one kind in a span.
-const LINES: u32 = 400;
-/// The span.
+/// Maximum number of lines of one kind per [`SPAN`].
+const MAX_LINES: u32 = 400;
+/// Time over which lines are counted.
 const SPAN: Duration = Duration::from_secs(1);
 
-/// Counts lines, so that those that would be left out cost nothing.
+/// Counts the lines of each kind, so that no text is formatted for lines that are dropped.
 #[derive(Debug, Default)]
 pub(super) struct LogBudget {
     since: CoreTime,
     counts: BTreeMap<(&'static str, &'static str), u32>,
-    left_out: u64,
+    dropped: u64,
 }
 
 impl LogBudget {
-    /// Tells whether a line of a kind is logged now.
+    /// Counts a line of a kind, and returns whether it is logged.
     pub(super) fn may_log(
         &mut self,
         now: CoreTime,
@@ -35,14 +35,15 @@
         }
         let count = self.counts.entry((part, event)).or_default();
         *count += 1;
-        let logged = *count <= LINES;
-        self.left_out += u64::from(!logged);
+        let logged = *count <= MAX_LINES;
+        self.dropped += u64::from(!logged);
         logged
     }
 
-    /// A line that tells how many were left out since the last such line; none if none were.
-    pub(super) fn take_left_out(&mut self) -> Option<DecisionLine> {
-        let count = std::mem::take(&mut self.left_out);
+    /// Returns a line with the number of lines that were dropped since the last such line, or `None` if
+    /// there were none.
+    pub(super) fn take_dropped(&mut self) -> Option<DecisionLine> {
+        let count = std::mem::take(&mut self.dropped);
         (count > 0).then(|| DecisionLine {
             part: "log",
             event: "left_out",
@@ -53,15 +54,15 @@
 }
 
 impl EntryCore {
-    /// Logs how many lines were left out.
+    /// Logs how many lines were dropped.
     pub(super) fn tell_left_out(&mut self) {
-        if let Some(line) = self.log_budget.take_left_out() {
+        if let Some(line) = self.log_budget.take_dropped() {
             self.actions.push(CoreAction::Log(line));
         }
     }
 
-    /// Logs one of many lines of a kind, unless so many were logged in this second that it would
-    /// be left out: at 1,500 starts a second their texts alone would take a hundredth of a core.
+    /// Logs a line of a frequent kind, unless the limit for this second is reached. The text is formatted
+    /// only if it is logged: at 1,500 starts per second, formatting alone takes a hundredth of a core.
     pub(super) fn log_often(
         &mut self,
         part: &'static str,
--- a/crates/bankvalve_queue/src/core/questions.rs
+++ b/crates/bankvalve_queue/src/core/questions.rs
@@ -1,9 +1,8 @@
-//! Requests to the table that have no answer yet: how long each is waited for, and what becomes of
-//! one whose end nobody tells.
+//! Open requests to the table: their timeouts, and the end of requests whose result is never reported.
 //!
-//! A request that is given up after a fixed time and asked for again unchanged may be asked for
-//! ever: behind a slow table, or when the answer is large and the link thin. So one that did not
-//! come gets more time, and the time of small answers tells how slow the table is.
+//! With a fixed timeout, a request may be repeated forever without success: because the table is slow,
+//! or because the answer is large and the link slow. So the timeout grows after each missing answer,
+//! and the latency of small answers shows how slow the table is.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -15,96 +14,97 @@
 use crate::ids::{CoreTime, Ticket};
 use crate::store::{StoreOutcome, StoreRequest};
 
-/// Longest wait for a read.
-const READ_TIME: Duration = Duration::from_millis(900);
-/// Longest wait for a write: a slow table takes some half a second.
-const WRITE_TIME: Duration = Duration::from_millis(1_200);
-/// Added to the wait before a watch counts as lost.
+/// Initial timeout of a read.
+const READ_TIMEOUT: Duration = Duration::from_millis(900);
+/// Initial timeout of a write. A slow table takes about half a second.
+const WRITE_TIMEOUT: Duration = Duration::from_millis(1_200);
+/// Initial timeout of a watch, in addition to the time that the table itself waits for a change.
 const WATCH_SLACK: Duration = Duration::from_millis(700);
-/// Most doublings of these times after answers that did not come. After the last one it begins
-/// anew, since a table that was silent and is back should not be waited for long.
-const DOUBLINGS: u32 = 1;
-/// The same for answers that may be large: a configuration of 1.5 MB takes 1.2 s on a link of 10
-/// Mbit/s and 6 s on one of 2 Mbit/s.
-const LARGE_DOUBLINGS: u32 = 3;
-/// The usual time of a small answer, times this, is waited for at least.
+/// Maximum number of doublings of these timeouts after missing answers. Another missing answer resets
+/// the timeout, since a long one delays the retry when an unresponsive table has recovered.
+const MAX_DOUBLINGS: u32 = 1;
+/// Maximum number of doublings for requests whose answer may be large: a configuration of 1.5 MB takes
+/// 1.2 s on a link of 10 Mbit/s, and 6 s on one of 2 Mbit/s.
+const MAX_LARGE_DOUBLINGS: u32 = 3;
+/// Multiple of the usual latency of small answers that every timeout is raised to.
 const LATENCY_FACTOR: u32 = 2;
-/// Longest of these times.
-const LONGEST_TIME: Duration = Duration::from_millis(8_000);
-/// A request whose answer should have come so long ago, or word that there is none, ends without:
-/// the ring of events may have been full when the word was given.
-const FORGOTTEN_AFTER: Duration = Duration::from_secs(1);
-/// Longest that an answer is reckoned to go on arriving once it has begun: 2 MB take 8 s on a link
-/// of 2 Mbit/s.
-const LONGEST_ANSWER: Duration = Duration::from_secs(12);
-/// Part, as a divisor, by which the usual time of a small answer rises with a slower one; it falls
-/// at once with a quicker one, since answers also wait behind large ones on a thin link.
-const LATENCY_RISE: u32 = 4;
-
-/// Kind of request, of which the last one tells how long the next may take, and whether it waits
-/// for a change.
-type QuestionKind = (&'static str, bool);
-
-/// A request to the table that has no answer yet.
+/// Maximum timeout, without the time that the table itself waits for a change.
+const MAX_TIMEOUT: Duration = Duration::from_millis(8_000);
+/// Time after its timeout from which a request counts as lost even though no event has reported that:
+/// the ring of events may have been full when the event was due.
+const EXPIRY_SLACK: Duration = Duration::from_secs(1);
+/// Time allowed for an answer that has begun to arrive: 2 MB take 8 s on a link of 2 Mbit/s.
+const MAX_ANSWER_TIME: Duration = Duration::from_secs(12);
+/// Divisor of the difference by which the usual latency rises after a slower answer. After a faster
+/// answer it falls at once, since a small answer may only have waited behind a large one on a slow
+/// link.
+const LATENCY_RISE_DIVISOR: u32 = 4;
+
+/// Kind of request: the name of its purpose, and whether the table waits for a change. Requests of one
+/// kind share a timeout.
+type RequestKind = (&'static str, bool);
+
+/// An open request to the table.
 #[derive(Debug)]
 pub(super) struct OpenQuestion {
     pub(super) purpose: StorePurpose,
     pub(super) asked_at: CoreTime,
-    /// Time for which the table itself may wait for a change.
-    waits: Duration,
-    /// When its answer, or word that there is none, is due at the latest.
-    due_at: CoreTime,
+    /// Time that the table itself may wait for a change.
+    table_wait: Duration,
+    /// When the request counts as lost, if neither its answer nor its failure has been reported.
+    expires_at: CoreTime,
 }
 
-/// How long the table takes, and answers of each kind.
+/// Timeouts of requests to the table, by kind, and the table's usual latency.
 #[derive(Debug, Default)]
 pub(super) struct StorePatience {
-    /// Doublings of the usual wait, by kind of request.
-    doublings: BTreeMap<QuestionKind, u32>,
-    /// Usual time of a small answer, lately; none before the first.
+    /// Number of doublings of the initial timeout.
+    doublings: BTreeMap<RequestKind, u32>,
+    /// Usual latency of small answers, or `None` before the first one.
     pub(super) latency: Option<Duration>,
 }
 
 impl StorePatience {
-    /// Usual time of a small answer, lately.
+    /// Returns the usual latency of small answers, or zero before the first one.
     pub(super) fn usual(&self) -> Duration {
         self.latency.unwrap_or_default()
     }
 
     fn note_latency(&mut self, took: Duration) {
         let usual = self.latency.unwrap_or(took);
-        let risen = usual + took.saturating_sub(usual) / LATENCY_RISE;
+        let risen = usual + took.saturating_sub(usual) / LATENCY_RISE_DIVISOR;
         self.latency = Some(risen.min(took));
     }
 
-    fn note_missed(&mut self, kind: QuestionKind, most: u32) {
+    fn record_miss(&mut self, kind: RequestKind, most: u32) {
         let doublings = self.doublings.entry(kind).or_default();
         *doublings = (*doublings + 1) % (most + 1);
     }
 
-    /// An answer came; one that was late, or is large, will be so again.
-    fn note_came(&mut self, kind: QuestionKind, took: Duration) {
-        if took < READ_TIME / 2 {
+    /// Resets the timeout after a fast answer. After a slow one it stays, since the next one may be as
+    /// slow or as large.
+    fn record_answer(&mut self, kind: RequestKind, took: Duration) {
+        if took < READ_TIMEOUT / 2 {
             self.doublings.remove(&kind);
         }
     }
 }
 
 impl OpenQuestion {
-    fn kind(&self) -> QuestionKind {
-        (self.purpose.name(), !self.waits.is_zero())
+    fn kind(&self) -> RequestKind {
+        (self.purpose.name(), !self.table_wait.is_zero())
     }
 
-    /// Doublings of its time after answers that did not come.
+    /// Returns the maximum number of doublings of the timeout.
     fn most_doublings(&self) -> u32 {
         match self.purpose {
-            StorePurpose::Operator | StorePurpose::Workers { .. } if self.waits.is_zero() => {
-                LARGE_DOUBLINGS
+            StorePurpose::Operator | StorePurpose::Workers { .. } if self.table_wait.is_zero() => {
+                MAX_LARGE_DOUBLINGS
             }
-            StorePurpose::AskOperator => LARGE_DOUBLINGS,
-            // They ask whether the table answers in time.
+            StorePurpose::AskOperator => MAX_LARGE_DOUBLINGS,
+            // These check whether the table answers in time, so their timeout is fixed.
             StorePurpose::Confirm | StorePurpose::Probe => 0,
-            _ => DOUBLINGS,
+            _ => MAX_DOUBLINGS,
         }
     }
 }
@@ -129,7 +129,7 @@
         }
     }
 
-    /// Tells whether its answer is small, so that it shows how long the table itself takes.
+    /// Returns whether the answer is small, so that its latency is that of the table itself.
     fn is_small(&self) -> bool {
         matches!(
             self,
@@ -145,53 +145,53 @@
 }
 
 impl EntryCore {
-    /// Asks the table, and waits for its answer as long as the last ones of its kind ask for.
+    /// Sends a request to the table, with the timeout of its kind.
     pub(super) fn ask_store(&mut self, purpose: StorePurpose, request: StoreRequest) -> Ticket {
-        let (base, waits) = match &request {
-            StoreRequest::Transact { .. } => (WRITE_TIME, Duration::ZERO),
+        let (base, table_wait) = match &request {
+            StoreRequest::Transact { .. } => (WRITE_TIMEOUT, Duration::ZERO),
             StoreRequest::Watch { wait_ms, .. }
             | StoreRequest::WatchOperator { wait_ms, .. }
             | StoreRequest::WatchWorkers { wait_ms, .. } => {
                 (WATCH_SLACK, Duration::from_millis(*wait_ms))
             }
-            _ => (READ_TIME, Duration::ZERO),
+            _ => (READ_TIMEOUT, Duration::ZERO),
         };
-        let patience = &self.store_patience;
-        let kind = (purpose.name(), !waits.is_zero());
-        let doublings = patience.doublings.get(&kind).copied();
+        let timeouts = &self.store_patience;
+        let kind = (purpose.name(), !table_wait.is_zero());
+        let doublings = timeouts.doublings.get(&kind).copied();
         let doublings = doublings.filter(|_| self.keeps(SiteGuard::GrowingPatience));
         let time = (base * 2_u32.pow(doublings.unwrap_or(0)))
-            .max(patience.usual() * LATENCY_FACTOR)
-            .min(LONGEST_TIME);
-        self.ask_question(purpose, request, waits, time)
+            .max(timeouts.usual() * LATENCY_FACTOR)
+            .min(MAX_TIMEOUT);
+        self.open_store_request(purpose, request, table_wait, time)
     }
 
-    /// Asks the table and waits for its answer no longer than a time.
+    /// Sends a request to the table, with a given timeout.
     pub(super) fn ask_store_within(
         &mut self,
         purpose: StorePurpose,
         request: StoreRequest,
         time: Duration,
     ) -> Ticket {
-        self.ask_question(purpose, request, Duration::ZERO, time)
+        self.open_store_request(purpose, request, Duration::ZERO, time)
     }
 
-    fn ask_question(
+    fn open_store_request(
         &mut self,
         purpose: StorePurpose,
         request: StoreRequest,
-        waits: Duration,
+        table_wait: Duration,
         time: Duration,
     ) -> Ticket {
-        let time = waits + time;
+        let time = table_wait + time;
         let ticket = self.take_ticket();
-        let question = OpenQuestion {
+        let pending_request = OpenQuestion {
             purpose,
             asked_at: self.now,
-            waits,
-            due_at: self.now + time + FORGOTTEN_AFTER,
+            table_wait,
+            expires_at: self.now + time + EXPIRY_SLACK,
         };
-        self.store_tickets.insert(ticket, question);
+        self.store_tickets.insert(ticket, pending_request);
         self.actions.push(CoreAction::Store {
             ticket,
             request,
@@ -200,43 +200,47 @@
         ticket
     }
 
-    /// Notes how an answer came, or that none did.
-    pub(super) fn note_answer_time(&mut self, question: &OpenQuestion, outcome: &StoreOutcome) {
-        let took = self.age(question.asked_at);
-        let kind = question.kind();
+    /// Adjusts the timeout and the usual latency after an answer, or after a missing one.
+    pub(super) fn update_timeouts(
+        &mut self,
+        pending_request: &OpenQuestion,
+        outcome: &StoreOutcome,
+    ) {
+        let took = self.age(pending_request.asked_at);
+        let kind = pending_request.kind();
         match outcome {
             StoreOutcome::Lost => {
-                let most = question.most_doublings();
-                self.store_patience.note_missed(kind, most);
+                let most = pending_request.most_doublings();
+                self.store_patience.record_miss(kind, most);
             }
             StoreOutcome::Busy => {}
             _ => {
-                let carried = took.saturating_sub(question.waits);
-                self.store_patience.note_came(kind, carried);
-                if question.purpose.is_small() {
+                let transfer = took.saturating_sub(pending_request.table_wait);
+                self.store_patience.record_answer(kind, transfer);
+                if pending_request.purpose.is_small() {
                     self.store_patience.note_latency(took);
                 }
             }
         }
     }
 
-    /// The answer to a request has begun to arrive, and is waited for as long as it goes on.
+    /// Allows more time for an answer that has begun to arrive.
     pub(super) fn extend_question(&mut self, ticket: Ticket) {
-        if let Some(question) = self.store_tickets.get_mut(&ticket) {
-            question.due_at = question.due_at.max(self.now + LONGEST_ANSWER);
+        if let Some(pending_request) = self.store_tickets.get_mut(&ticket) {
+            pending_request.expires_at = pending_request.expires_at.max(self.now + MAX_ANSWER_TIME);
         }
     }
 
-    /// Ends requests of whose end no word came, as lost.
+    /// Ends requests as lost whose result should have been reported long ago.
     pub(super) fn end_forgotten_questions(&mut self) {
         let now = self.now;
-        let forgotten: Vec<Ticket> = self
+        let expired: Vec<Ticket> = self
             .store_tickets
             .iter()
-            .filter(|(_, question)| now > question.due_at)
+            .filter(|(_, pending_request)| now > pending_request.expires_at)
             .map(|(ticket, _)| *ticket)
             .collect();
-        for ticket in forgotten {
+        for ticket in expired {
             self.counters.count("retries", "store_forgotten");
             self.take_store(ticket, StoreOutcome::Lost);
         }
--- a/crates/bankvalve_queue/src/core/read_back.rs
+++ b/crates/bankvalve_queue/src/core/read_back.rs
@@ -1,8 +1,9 @@
-//! Writes without an answer: read back whether they were done, and sent again if they were lost.
+//! Unanswered writes: reads back whether they were applied, and sends them again if they were lost.
 //!
-//! A table that is slow and one that loses answers look alike at first. Copies help with the second
-//! and harm with the first, since the writes of a part are carried out in turn; so it is read back
-//! whether a write was done, and it is sent again only if reads are quick and it was not.
+//! At first, a slow table looks like one that loses answers. Another copy of the write helps if the
+//! first was lost. It does harm if the table is slow, since the writes to one part of a table are
+//! applied one after the other. So the row is read back first, and the write is sent again only if the
+//! row is missing and reads are fast.
 
 use std::time::Duration;
 
@@ -15,34 +16,35 @@
 use crate::policy::PolicySwitch;
 use crate::store::{StoreOutcome, StoreRequest};
 
-/// Least and longest time after which it is read back whether a write without an answer was done.
-const CHECK_LEAST: Duration = Duration::from_millis(120);
-const CHECK_MOST: Duration = Duration::from_millis(450);
-/// The usual time of a write, times this, after which it is read back.
-const CHECK_FACTOR: u32 = 4;
-/// A read-back takes this long at most; a slow table takes some 0.4 s.
-const CHECK_TIME: Duration = Duration::from_millis(700);
-/// A write that is not done though reads take less than this share of its age is lost rather than
-/// slow: a slow table takes twice as long for a write as for a read, and longer if others wait.
-const LOST_FACTOR: u32 = 6;
-/// Least age of a write that counts as lost.
-const LOST_LEAST: Duration = Duration::from_millis(200);
-/// Most copies without an answer; they do no harm, since the row of the batch must not be there,
-/// but a slow table carries them out in turn.
-const MOST_COPIES: u32 = 3;
+/// Minimum and maximum delay before an unanswered write is read back.
+const MIN_CHECK_DELAY: Duration = Duration::from_millis(120);
+const MAX_CHECK_DELAY: Duration = Duration::from_millis(450);
+/// Multiple of the usual duration of a write after which an unanswered one is read back.
+const CHECK_DELAY_FACTOR: u32 = 4;
+/// Timeout of the read. A slow table takes about 0.4 s.
+const CHECK_TIMEOUT: Duration = Duration::from_millis(700);
+/// Multiple of the duration of a read above which a write that the read did not find counts as lost,
+/// by its age. A slow table takes twice as long for a write as for a read, and longer if other writes
+/// wait.
+const LOST_AGE_FACTOR: u32 = 6;
+/// Minimum age of a write that counts as lost.
+const MIN_LOST_AGE: Duration = Duration::from_millis(200);
+/// Maximum number of unanswered copies. They are harmless, since each requires that the batch's row
+/// does not exist yet, but a slow table processes them one after the other.
+const MAX_COPIES: u32 = 3;
 
 impl EntryCore {
-    /// The write that is on its way.
-    fn open_flight(&mut self) -> Option<&mut CommitFlight> {
+    /// Returns the in-flight write.
+    fn in_flight_commit(&mut self) -> Option<&mut CommitFlight> {
         self.lead.as_deref_mut()?.flight.as_mut()
     }
 
-    /// Sees to a write that has no answer yet.
+    /// Sends the in-flight write again, reads it back, or withdraws its jobs, as is due.
     pub(super) fn pursue_flight(&mut self) {
         let now = self.now;
-        let away = self.store_is_away();
+        let unavailable = self.store_is_away();
         let read_back = self.uses(PolicySwitch::ReadBack);
-        let Some(flight) = self.open_flight() else {
+        let Some(flight) = self.in_flight_commit() else {
             return;
         };
         if flight.copies == 0 {
@@ -51,24 +53,24 @@
             }
             return;
         }
-        if away && !flight.uncertain {
+        if unavailable && !flight.uncertain {
             flight.uncertain = true;
             self.withdraw_unkept();
             return;
         }
         if !flight.checking && now >= flight.check_at {
             if read_back {
-                self.check_flight();
-            } else if flight.copies < MOST_COPIES {
+                self.check_commit();
+            } else if flight.copies < MAX_COPIES {
                 self.send_copy();
             }
         }
     }
 
-    /// Reads back whether a write without an answer was done.
-    fn check_flight(&mut self) {
+    /// Reads the row of the first batch in flight to find out whether the write was applied.
+    fn check_commit(&mut self) {
         let now = self.now;
-        let Some(flight) = self.open_flight() else {
+        let Some(flight) = self.in_flight_commit() else {
             return;
         };
         flight.checking = true;
@@ -84,20 +86,25 @@
             sequence,
             sent_at: now,
         };
-        self.ask_store_within(purpose, request, CHECK_TIME);
+        self.ask_store_within(purpose, request, CHECK_TIMEOUT);
     }
 
-    pub(super) fn end_check(&mut self, sequence: u64, sent_at: CoreTime, outcome: &StoreOutcome) {
+    pub(super) fn end_commit_check(
+        &mut self,
+        sequence: u64,
+        sent_at: CoreTime,
+        outcome: &StoreOutcome,
+    ) {
         let now = self.now;
         let Some(lead) = self.lead.as_deref_mut() else {
             return;
         };
-        let same = |flight: &&mut CommitFlight| flight.sequence == sequence;
-        let Some(flight) = lead.flight.as_mut().filter(same) else {
+        let is_current = |flight: &&mut CommitFlight| flight.sequence == sequence;
+        let Some(flight) = lead.flight.as_mut().filter(is_current) else {
             return;
         };
         flight.checking = false;
-        flight.check_at = now + CHECK_LEAST;
+        flight.check_at = now + MIN_CHECK_DELAY;
         let StoreOutcome::Rows { rows, .. } = outcome else {
             return;
         };
@@ -106,19 +113,24 @@
         match rows.iter().find(|row| row.key == key) {
             Some(row) if row.value == flight.rows[0] => {
                 let begun_at = flight.since;
-                self.log("ledger", "read_back", sequence.to_string(), "done".into());
+                self.log(
+                    "ledger",
+                    "read_back",
+                    sequence.to_string(),
+                    "applied".into(),
+                );
                 self.finish_commit(begun_at);
             }
             Some(_) => {
-                self.depose("another leader wrote the ledger on");
+                self.depose("another leader has written this batch of the ledger");
                 self.read_leader_row();
             }
             None => {
                 let took = now.saturating_sub(sent_at);
                 let age = now.saturating_sub(flight.sent_at);
-                let lost = age > LOST_LEAST.max(took * LOST_FACTOR);
-                if lost && flight.copies < MOST_COPIES {
-                    let detail = format!("not done after {age:?}, reads take {took:?}");
+                let lost = age > MIN_LOST_AGE.max(took * LOST_AGE_FACTOR);
+                if lost && flight.copies < MAX_COPIES {
+                    let detail = format!("not applied after {age:?}, the read took {took:?}");
                     self.log("ledger", "copy", sequence.to_string(), detail);
                     self.send_copy();
                 }
@@ -126,13 +138,13 @@
         }
     }
 
-    /// Sends the write that is on its way once more.
+    /// Sends another copy of the in-flight write.
     fn send_copy(&mut self) {
         let now = self.now;
         let Some(lead) = self.lead.as_deref_mut() else {
             return;
         };
-        let pause = lead.check_pause();
+        let pause = lead.commit_check_delay();
         if let Some(flight) = lead.flight.as_mut() {
             flight.copies += 1;
             flight.sent_at = now;
@@ -143,8 +155,8 @@
 }
 
 impl LeadState {
-    /// Wait for a write's answer before it is read back.
-    pub(super) fn check_pause(&self) -> Duration {
-        (self.commit_time * CHECK_FACTOR).clamp(CHECK_LEAST, CHECK_MOST)
+    /// Returns the delay before an unanswered write is read back.
+    pub(super) fn commit_check_delay(&self) -> Duration {
+        (self.commit_time * CHECK_DELAY_FACTOR).clamp(MIN_CHECK_DELAY, MAX_CHECK_DELAY)
     }
 }
--- a/crates/bankvalve_queue/src/core/store_link.rs
+++ b/crates/bankvalve_queue/src/core/store_link.rs
@@ -1,4 +1,4 @@
-//! Requests to the table: watches, and where answers go.
+//! Requests to the table: its watches, and dispatch of the answers to all requests.
 
 use std::time::Duration;
 
@@ -6,32 +6,33 @@
 use crate::ids::{CoreTime, Ticket};
 use crate::store::{StoreOutcome, StoreRequest};
 
-/// Table that holds the leader's row and the members' rows.
+/// Table of the leader's row and the members' rows.
 pub(super) const CELL_TABLE: &str = "cell";
-/// Table that holds the ledger.
+/// Table of the ledger.
 pub(super) const LEDGER_TABLE: &str = "ledger";
-/// Part of the leader's row and of the ledger, so that they change together.
+/// Part of the leader's row and of the ledger. They share it so that one transaction can cover both.
 pub(super) const LEAD_PART: &str = "lead";
 /// Part of the members' rows.
 pub(super) const MEMBER_PART: &str = "member";
 
-/// Longest that a watch on the workers' entries waits; a connection on which an answer was lost
-/// says nothing more, so this bounds how old they can get.
+/// Maximum time that a watch on the workers' entries waits for a change. A watch whose answer is lost
+/// reports nothing until it times out, so this limits the age of the entries.
 const WATCH_WAIT: Duration = Duration::from_millis(1_000);
-/// The same for members' rows and the leader's, of which heartbeats tell sooner.
+/// Maximum time that a watch on the members' rows and the leader's row waits for a change. Heartbeats
+/// report such changes sooner.
 const CELL_WATCH_WAIT: Duration = Duration::from_millis(3_000);
-/// Members from which on a site has many: when all start at once, each row that is written wakes
-/// every one of them.
-const MANY_MEMBERS: usize = 12;
-/// Pause between two watches of members' rows on such a site, so that changes come together.
-const MANY_PAUSE: Duration = Duration::from_millis(150);
-/// Pause after a request that failed; it doubles with each one that does, since each instance that
-/// asks a table that is away is paid for, and delays its return.
+/// Number of peers above which the watches of members' rows are spaced out: when all instances start
+/// at once, each written row wakes every one of them.
+const SPACED_WATCH_PEERS: usize = 12;
+/// Pause between two spaced-out watches, so that one answer contains several changes.
+const SPACED_WATCH_PAUSE: Duration = Duration::from_millis(150);
+/// Initial pause after a failed request. It doubles with each further failure, since requests to an
+/// unavailable table are billed and delay its recovery.
 pub(super) const RETRY_PAUSE: Duration = Duration::from_millis(120);
-/// Most doublings of it.
-const RETRY_DOUBLINGS: u32 = 3;
+/// Maximum number of doublings of [`RETRY_PAUSE`].
+const MAX_RETRY_DOUBLINGS: u32 = 3;
 
-/// What a request to the table was for.
+/// What a request to the table is for.
 #[derive(Clone, Debug)]
 pub(super) enum StorePurpose {
     Register,
@@ -45,7 +46,7 @@
         sent_at: CoreTime,
     },
     Confirm,
-    /// A page of the ledger from a batch on.
+    /// A page of the ledger that starts at a batch.
     ReadLedger {
         from: u64,
     },
@@ -54,24 +55,24 @@
     WatchCell,
     Operator,
     AskOperator,
-    /// Of the workers' entries: a page of all of them, or what has changed since.
+    /// Workers' entries: a page of all of them, or their changes since a version.
     Workers {
         full: bool,
-        /// Number of the reading of all entries that it belongs to.
-        reading: u64,
+        /// Number of the scan of all entries that the request belongs to.
+        scan: u64,
     },
     DropMember,
     Probe,
 }
 
-/// A watch on a table.
+/// State of a watch on a table.
 #[derive(Debug, Default)]
 pub(super) struct WatchState {
-    /// Version up to which changes are known; none before the first read.
+    /// Version up to which changes are known, or `None` before the first read.
     pub(super) after: Option<u64>,
     pub(super) busy: bool,
     pub(super) next_at: CoreTime,
-    /// Requests that failed since the last one that did not.
+    /// Number of requests that have failed since the last success.
     pub(super) failures: u32,
 }
 
@@ -80,19 +81,19 @@
         !self.busy && now >= self.next_at
     }
 
-    /// A request ended, well or not.
-    pub(super) fn end(&mut self, well: bool, now: CoreTime) {
+    /// Records the end of a request.
+    pub(super) fn end(&mut self, succeeded: bool, now: CoreTime) {
         self.busy = false;
-        if well {
+        if succeeded {
             self.failures = 0;
         } else {
             self.back_off(now);
         }
     }
 
-    /// A request failed; the next one waits.
+    /// Records a failed request and delays the next one.
     pub(super) fn back_off(&mut self, now: CoreTime) {
-        let doublings = self.failures.min(RETRY_DOUBLINGS);
+        let doublings = self.failures.min(MAX_RETRY_DOUBLINGS);
         self.failures += 1;
         self.next_at = now + RETRY_PAUSE * 2_u32.pow(doublings);
     }
@@ -128,8 +129,8 @@
                 }
                 Some(after) => (StoreRequest::WatchWorkers { after, wait_ms }, false),
             };
-            let reading = self.worker_reading.number();
-            self.ask_store(StorePurpose::Workers { full, reading }, request);
+            let scan = self.worker_reading.number();
+            self.ask_store(StorePurpose::Workers { full, scan }, request);
         }
     }
 
@@ -149,11 +150,11 @@
     }
 
     pub(super) fn take_store(&mut self, ticket: Ticket, outcome: StoreOutcome) {
-        let Some(question) = self.store_tickets.remove(&ticket) else {
+        let Some(pending_request) = self.store_tickets.remove(&ticket) else {
             return;
         };
         self.store_arrived(ticket);
-        self.note_answer_time(&question, &outcome);
+        self.update_timeouts(&pending_request, &outcome);
         if !matches!(outcome, StoreOutcome::Lost | StoreOutcome::Busy) {
             self.store_heard = Some(self.now);
         }
@@ -163,25 +164,25 @@
             StoreOutcome::HistoryGone => self.counters.count("retries", "store_history_gone"),
             _ => {}
         }
-        match question.purpose {
+        match pending_request.purpose {
             StorePurpose::Register => self.end_register(&outcome),
             StorePurpose::Claim => self.end_claim(outcome),
             StorePurpose::Commit { sequence, sent_at } => {
                 self.end_commit(sequence, sent_at, outcome);
             }
             StorePurpose::CheckCommit { sequence, sent_at } => {
-                self.end_check(sequence, sent_at, &outcome);
+                self.end_commit_check(sequence, sent_at, &outcome);
             }
             StorePurpose::Confirm => self.end_confirm(&outcome),
             StorePurpose::ReadLedger { from } => {
-                self.end_ledger_page(from, question.asked_at, outcome);
+                self.end_ledger_page(from, pending_request.asked_at, outcome);
             }
             StorePurpose::LeaderRow => self.end_leader_row(&outcome),
             StorePurpose::ReadCell => self.end_read_cell(outcome),
             StorePurpose::WatchCell => self.end_watch_cell(outcome),
             StorePurpose::Operator => self.end_operator(outcome),
             StorePurpose::AskOperator => self.end_ask_operator(outcome),
-            StorePurpose::Workers { full, reading } => self.end_workers(outcome, full, reading),
+            StorePurpose::Workers { full, scan } => self.end_workers(outcome, full, scan),
             StorePurpose::DropMember => {}
             StorePurpose::Probe => self.end_probe(&outcome),
         }
@@ -203,7 +204,8 @@
         if !self.members_known {
             self.members_known = true;
             self.read_leader_row();
-            // After a loss of all, the others learn by it that the leader's life is over.
+            // After the loss of all instances, this shows the others that the former leader's process
+            // has ended.
             self.next_heartbeat = self.now;
             if self.is_first_heir() {
                 self.read_ledger();
@@ -212,15 +214,15 @@
     }
 
     fn end_watch_cell(&mut self, outcome: StoreOutcome) {
-        let many = self.peers.len() > MANY_MEMBERS;
+        let spaced_out = self.peers.len() > SPACED_WATCH_PEERS;
         let watch = &mut self.cell_watch;
         watch.busy = false;
         match outcome {
             StoreOutcome::Changes { changes, version } => {
                 watch.after = Some(version);
                 watch.failures = 0;
-                if many {
-                    watch.next_at = self.now + MANY_PAUSE;
+                if spaced_out {
+                    watch.next_at = self.now + SPACED_WATCH_PAUSE;
                 }
                 for change in changes {
                     self.take_cell_row(&change.key, change.value.as_deref(), change.version);
@@ -235,9 +237,9 @@
         self.run_watches();
     }
 
-    fn end_workers(&mut self, outcome: StoreOutcome, full: bool, reading: u64) {
-        // An answer to what was asked during an earlier lead belongs to no reading of now.
-        if reading != self.worker_reading.number() {
+    fn end_workers(&mut self, outcome: StoreOutcome, full: bool, scan: u64) {
+        // Ignores answers to requests from an earlier leadership, which belong to no current scan.
+        if scan != self.worker_reading.number() {
             return;
         }
         match outcome {
@@ -252,10 +254,10 @@
                 }
                 self.take_worker_entries(entries, full);
                 if more {
-                    // A sign before all that ids are made of, so that the last one is not read again.
+                    // `!` sorts before all characters of ids, so the next page starts after the last id.
                     let from = format!("{}!", last.unwrap_or_default());
                     let request = StoreRequest::ReadWorkers { from };
-                    self.ask_store(StorePurpose::Workers { full, reading }, request);
+                    self.ask_store(StorePurpose::Workers { full, scan }, request);
                     return;
                 }
                 let version = if full {
--- a/crates/bankvalve_queue/src/core/withdraw.rs
+++ b/crates/bankvalve_queue/src/core/withdraw.rs
@@ -1,4 +1,4 @@
-//! Taking back jobs that are not kept while the table is away.
+//! Withdrawing uncommitted jobs while the table is unavailable.
 
 use std::collections::{BTreeSet, VecDeque};
 
@@ -9,32 +9,32 @@
 use crate::ledger::LedgerEvent;
 use crate::policy::PolicySwitch;
 
-/// When a caller may come back whose job was not kept, in milliseconds.
+/// Time after which a caller may retry whose job was not committed, in milliseconds.
 pub(super) const STORE_RETRY_MS: u64 = 2_000;
 
 impl EntryCore {
-    /// Gives jobs that are not kept their final answer while the table is away.
+    /// Gives the callers of uncommitted jobs their final answer while the table is unavailable.
     ///
-    /// What was never sent, or surely not carried out, is taken back and refused; of the rest
-    /// it is only said that it is not known.
+    /// Jobs that were never sent to the table, or that it refused, are withdrawn, and their callers are
+    /// refused. For the others, the answer is that the result is unknown.
     pub(super) fn withdraw_unkept(&mut self) {
         if !self.store_is_away() || !self.uses(PolicySwitch::Withdrawal) {
             return;
         }
-        let sure = self.keeps(SiteGuard::SureRefusal);
+        let guarded = self.keeps(SiteGuard::SureRefusal);
         let Some(lead) = self.lead.as_deref_mut() else {
             return;
         };
         let mut unknown = Vec::new();
         if let Some(flight) = lead.flight.as_mut() {
-            if flight.uncertain && sure {
+            if flight.uncertain && guarded {
                 for (_, effect) in &mut flight.effects {
                     if matches!(effect, Effect::Answer(..)) {
                         unknown.push(std::mem::replace(effect, Effect::None));
                     }
                 }
             } else if flight.copies == 0 {
-                let flight = lead.flight.take().expect("it was just seen");
+                let flight = lead.flight.take().expect("it is in flight");
                 lead.away_since.get_or_insert(flight.since);
                 lead.next_commit_at = flight.next_at;
                 let mut events = flight.events.into_iter();
@@ -52,7 +52,7 @@
         self.withdraw_jobs();
     }
 
-    /// Takes back jobs of which no event was sent, and refuses them.
+    /// Withdraws the jobs whose acceptance was not sent to the table, and refuses their callers.
     pub(super) fn withdraw_jobs(&mut self) {
         let Some(lead) = self.lead.as_deref_mut() else {
             return;
@@ -72,7 +72,7 @@
             let withdrawn = job.is_some_and(|job| jobs.contains(&job));
             match proposal.effect {
                 Effect::Answer(origin, _) if withdrawn => answers.push((origin, true)),
-                // It asks about a job that may be among those that are taken back.
+                // The request may be about a job that is withdrawn.
                 Effect::Answer(origin, _) if job.is_none() => answers.push((origin, false)),
                 _ if withdrawn => {}
                 effect => rest.push_back(Proposal {
@@ -92,8 +92,8 @@
             }
             self.book.withdraw(*job);
         }
-        for (origin, surely) in answers {
-            let answer = if surely {
+        for (origin, is_withdrawn) in answers {
+            let answer = if is_withdrawn {
                 CallerAnswer::Refused {
                     reason: RefusalReason::StoreAway,
                     retry_ms: STORE_RETRY_MS,
@@ -104,7 +104,7 @@
             self.answer(origin, answer);
         }
         if !jobs.is_empty() {
-            let detail = format!("{} jobs, table away", jobs.len());
+            let detail = format!("{} jobs, table unavailable", jobs.len());
             self.log("ledger", "withdraw", String::new(), detail);
         }
     }
