--- a/crates/bankvalve_queue/src/core/book_reads.rs
+++ b/crates/bankvalve_queue/src/core/book_reads.rs
@@ -1,11 +1,12 @@
-//! Reads from a follower's book that are sure to show all that was kept when they were asked.
+//! Status reads that a follower answers from its own book, with everything that was committed when the
+//! read arrived.
 //!
-//! The pattern that it answers: each caller of an open job asks again and again how it stands, at
-//! any instance. Answered by the leader they take most of its turns when it is short of them: with
-//! steps of 2 ms, twice the load it bears served 630 jobs in 20 s that way, and 880 this way. A
-//! follower's book alone may lack what was kept last: a caller whose cancel was answered would be
-//! shown the job as running. So a follower gathers such questions, asks the leader once for all of
-//! them up to where the ledger is kept, and answers when its own book is as far.
+//! Problem: callers poll the state of their open jobs, at any instance. If the leader answers all polls,
+//! they take most of its time when it is overloaded: with steps of 2 ms and twice the load that it can
+//! handle, 630 jobs were served in 20 s that way, and 880 with reads from followers. A follower's book
+//! may lack the latest commits, so a caller whose cancel has been answered could get "running". So a
+//! follower collects reads, requests one read index from the leader for all of them, which is the last
+//! committed batch, and answers once its book has reached it (as in Raft's ReadIndex).
 
 use std::time::Duration;
 
@@ -17,62 +18,62 @@
 use crate::ids::{CoreTime, JobId};
 use crate::peer::{PeerAddress, PeerMessage};
 
-/// Longest time for the leader's word and the batches up to it, beyond that of the way to it and
-/// back; what was asked then goes to the leader, in the time that is left of a caller's 3 s.
-const ROUND_TIME: Duration = Duration::from_millis(700);
-/// Time after which the leader is asked once more, likewise.
-const ASK_AGAIN: Duration = Duration::from_millis(300);
-/// Most questions that are gathered for the next round.
-const GATHERED_LIMIT: usize = 4_000;
+/// Timeout of a read round, in addition to the round trip to the leader: the read index and the batches
+/// up to it must have arrived. The reads then go to the leader, in what is left of a caller's 3 s.
+const ROUND_TIMEOUT: Duration = Duration::from_millis(700);
+/// Time after which the read index is requested again, in addition to the round trip to the leader.
+const INDEX_RESEND_AFTER: Duration = Duration::from_millis(300);
+/// Maximum number of reads that wait for the next round.
+const MAX_COLLECTED_READS: usize = 4_000;
 
-/// A question how a job stands.
+/// A request for the state of a job.
 #[derive(Clone, Copy, Debug)]
-struct BookRead {
+struct FollowerRead {
     origin: Origin,
     job: JobId,
 }
 
-/// Questions for which the leader was asked how far the ledger is kept.
+/// Reads that wait for one read index.
 #[derive(Debug)]
 struct ReadRound {
     number: u64,
     leader: PeerAddress,
     begun_at: CoreTime,
     sent_at: CoreTime,
-    /// The last batch that was kept, once the leader has told.
-    mark: Option<u64>,
-    reads: Vec<BookRead>,
+    /// The read index: the last committed batch, once the leader has sent it.
+    index: Option<u64>,
+    reads: Vec<FollowerRead>,
 }
 
-/// Questions that are answered from the own book.
+/// Reads that are answered from the local book.
 #[derive(Debug, Default)]
 pub(super) struct BookReads {
-    gathered: Vec<BookRead>,
+    collected: Vec<FollowerRead>,
     round: Option<ReadRound>,
     rounds: u64,
 }
 
 impl EntryCore {
-    /// Takes up a question about a job that the own book has, if this instance follows closely;
-    /// returns the leader that is asked for it.
+    /// Accepts a read of a job that is in the local book, if this instance is an up-to-date follower.
+    /// Returns the leader that confirms the read, or `None` if the leader must answer it.
     pub(super) fn read_own_book(
         &mut self,
         origin: Origin,
         job: JobId,
         caller: &CallerIdentity,
     ) -> Option<PeerAddress> {
-        let leader = self.leader_followed()?;
+        let leader = self.followed_leader()?;
         let record = self.book.job(job)?;
-        // What a stranger is told is the leader's to say.
+        // The leader decides what a caller without access is told.
         if !self.may_access(record, caller) {
             return None;
         }
-        if self.book_reads.gathered.len() >= GATHERED_LIMIT {
+        if self.book_reads.collected.len() >= MAX_COLLECTED_READS {
             return None;
         }
-        let read = BookRead { origin, job };
+        let read = FollowerRead { origin, job };
         if self.keeps(SiteGuard::ReadMark) {
-            self.book_reads.gathered.push(read);
+            self.book_reads.collected.push(read);
             self.begin_read_round();
         } else {
             self.answer_read(read);
@@ -80,20 +81,22 @@
         Some(leader)
     }
 
-    /// The leader, if this instance hears it and has read all batches before those that it sends.
-    fn leader_followed(&self) -> Option<PeerAddress> {
+    /// Returns the leader, if this instance is in contact with it and its book has no gap before the
+    /// batches that the leader sends.
+    fn followed_leader(&self) -> Option<PeerAddress> {
         let leader = self.leader.as_ref().filter(|_| self.lead.is_none())?;
-        let heard = self.leader_is_heard() && !leader.loading;
-        let whole = self.applied > 0 && !self.catching_up && self.catch_up_at.is_none();
-        (heard && whole && leader.address != self.settings.address).then_some(leader.address)
+        let in_contact = self.leader_is_heard() && !leader.loading;
+        let complete = self.applied > 0 && !self.catching_up && self.catch_up_at.is_none();
+        (in_contact && complete && leader.address != self.settings.address)
+            .then_some(leader.address)
     }
 
     fn begin_read_round(&mut self) {
-        let Some(leader) = self.leader_followed() else {
+        let Some(leader) = self.followed_leader() else {
             return;
         };
         let reads = &mut self.book_reads;
-        if reads.round.is_some() || reads.gathered.is_empty() {
+        if reads.round.is_some() || reads.collected.is_empty() {
             return;
         }
         reads.rounds += 1;
@@ -103,13 +106,13 @@
             leader,
             begun_at: self.now,
             sent_at: self.now,
-            mark: None,
-            reads: std::mem::take(&mut reads.gathered),
+            index: None,
+            reads: std::mem::take(&mut reads.collected),
         });
         self.tell(leader, PeerMessage::MarkWanted { round: number });
     }
 
-    /// Tells a follower up to where the ledger is kept.
+    /// Sends a follower the read index: the last committed batch.
     pub(super) fn tell_mark(&mut self, to: PeerAddress, round: u64) {
         let Some(lead) = self.lead.as_deref().filter(|lead| lead.loaded) else {
             return;
@@ -118,19 +121,21 @@
         self.tell(to, PeerMessage::Mark { round, sequence });
     }
 
-    /// The leader has told up to where the ledger was kept when it was asked.
+    /// Handles the read index from the leader.
     pub(super) fn take_mark(&mut self, from: PeerAddress, number: u64, sequence: u64) {
         let round = self.book_reads.round.as_mut();
-        let asked = |round: &&mut ReadRound| round.number == number && round.leader == from;
-        if let Some(round) = round.filter(asked) {
-            round.mark = Some(sequence);
+        let is_current = |round: &&mut ReadRound| round.number == number && round.leader == from;
+        if let Some(round) = round.filter(is_current) {
+            round.index = Some(sequence);
         }
         self.end_read_round();
     }
 
-    /// Answers the questions of a round once the own book is as far, and begins the next.
+    /// Answers the reads of a round once the local book has reached the read index, and begins the next
+    /// round.
     pub(super) fn end_read_round(&mut self) {
-        let reached = |round: &mut ReadRound| round.mark.is_some_and(|mark| self.applied >= mark);
+        let reached =
+            |round: &mut ReadRound| round.index.is_some_and(|index| self.applied >= index);
         if let Some(round) = self.book_reads.round.take_if(reached) {
             for read in round.reads {
                 self.answer_read(read);
@@ -139,26 +144,26 @@
         self.begin_read_round();
     }
 
-    /// Asks the leader once more of whom nothing came, and gives up a round that comes to no end.
+    /// Requests a missing read index again, and abandons a round that has timed out or lost its leader.
     pub(super) fn run_book_reads(&mut self) {
         let now = self.now;
-        let follows = self.leader_followed();
-        let way = self.way_to_leader();
-        let over = |round: &mut ReadRound| {
-            let late = now.saturating_sub(round.begun_at) >= ROUND_TIME + way;
-            late || follows != Some(round.leader)
+        let followed = self.followed_leader();
+        let round_trip = self.way_to_leader();
+        let ended = |round: &mut ReadRound| {
+            let late = now.saturating_sub(round.begun_at) >= ROUND_TIMEOUT + round_trip;
+            late || followed != Some(round.leader)
         };
-        let round = self.book_reads.round.take_if(over);
-        if round.is_some() || follows.is_none() {
-            let gathered = std::mem::take(&mut self.book_reads.gathered);
+        let round = self.book_reads.round.take_if(ended);
+        if round.is_some() || followed.is_none() {
+            let collected = std::mem::take(&mut self.book_reads.collected);
             let reads = round.into_iter().flat_map(|round| round.reads);
-            self.give_up_reads(reads.chain(gathered).collect());
+            self.abandon_reads(reads.chain(collected).collect());
         }
-        let pause = ASK_AGAIN + way;
-        let unheard = |round: &&mut ReadRound| {
-            round.mark.is_none() && now.saturating_sub(round.sent_at) >= pause
+        let pause = INDEX_RESEND_AFTER + round_trip;
+        let unanswered = |round: &&mut ReadRound| {
+            round.index.is_none() && now.saturating_sub(round.sent_at) >= pause
         };
-        if let Some(round) = self.book_reads.round.as_mut().filter(unheard) {
+        if let Some(round) = self.book_reads.round.as_mut().filter(unanswered) {
             round.sent_at = now;
             let (leader, number) = (round.leader, round.number);
             self.tell(leader, PeerMessage::MarkWanted { round: number });
@@ -166,18 +171,18 @@
         self.end_read_round();
     }
 
-    /// Has questions go to the leader; a far member asks anew by itself.
-    fn give_up_reads(&mut self, reads: Vec<BookRead>) {
+    /// Abandons reads: those of this instance's callers go to the leader. A peer repeats its own requests.
+    fn abandon_reads(&mut self, reads: Vec<FollowerRead>) {
         for read in reads {
             self.counters.count("retries", "book_read");
-            if let Origin::Own(ticket) = read.origin {
+            if let Origin::Local(ticket) = read.origin {
                 self.end_reading(ticket);
             }
         }
     }
 
-    fn answer_read(&mut self, read: BookRead) {
-        // One that this instance has begun to lead over holds what is not kept yet.
+    fn answer_read(&mut self, read: FollowerRead) {
+        // The book of an instance that has become the leader contains uncommitted events.
         let record = self.book.job(read.job).filter(|_| self.lead.is_none());
         if let Some(record) = record {
             self.answer(read.origin, CallerAnswer::State(record.state()));
--- a/crates/bankvalve_queue/src/core/callers.rs
+++ b/crates/bankvalve_queue/src/core/callers.rs
@@ -1,4 +1,4 @@
-//! Callers' requests: carried to the leader, and answered there.
+//! Callers' requests: forwards them to the leader, and serves them there.
 
 use std::time::Duration;
 
@@ -14,45 +14,47 @@
 use crate::ledger::{JobOutcome, LedgerEvent};
 use crate::peer::{PeerAddress, PeerMessage};
 
-/// Wait for a leader's answer before the question is sent again.
+/// Time without an answer from the leader after which a request is sent again, in addition to the round trip.
 const RESEND_AFTER: Duration = Duration::from_millis(700);
-/// A leader that is silent for so long is not sent requests until it is heard again.
-const SILENT_LEADER: Duration = Duration::from_millis(650);
-/// Age of what far members are told of the leader, beyond that of what near ones hear.
-const TOLD_LATER: Duration = Duration::from_millis(400);
-/// Longest that a request waits for a leader to be known.
-const LEADER_WAIT: Duration = Duration::from_millis(1_800);
-/// Share of a caller's patience after which it gets its final answer, in percent.
-pub(super) const PATIENCE_PERCENT: u64 = 85;
-/// When a refused caller may come back, in milliseconds.
+/// Time without contact to the leader after which no requests are sent to it.
+const UNRESPONSIVE_LEADER: Duration = Duration::from_millis(650);
+/// Added to that time on members that are not preferred ones in a large site: they learn of the leader
+/// later.
+const HUB_DELAY: Duration = Duration::from_millis(400);
+/// Maximum time that a request waits for a known leader.
+const MAX_LEADER_WAIT: Duration = Duration::from_millis(1_800);
+/// Share of a caller's timeout after which it gets its final answer, in percent.
+pub(super) const TIMEOUT_PERCENT: u64 = 85;
+/// Time after which a refused caller may retry, in milliseconds.
 pub(super) const RETRY_MS: u64 = 1_000;
-/// Age up to which a count of waiting jobs is told again; the platform allows 2 s.
-const COUNT_AGE: Duration = Duration::from_millis(300);
-/// Span over which those who are refused for want of means come back.
+/// Age up to which a count of waiting jobs is reused. The platform allows 2 s.
+const MAX_COUNT_AGE: Duration = Duration::from_millis(300);
+/// Time range over which the retries of callers that were refused for overload are spread, in
+/// milliseconds.
 const RETRY_SPREAD_MS: u64 = 1_500;
-/// Most requests that wait for the leader.
-const ASK_LIMIT: usize = 4_000;
+/// Maximum number of open requests of callers.
+const MAX_OPEN_REQUESTS: usize = 4_000;
 
-/// A caller's request that has no answer yet.
+/// An open request of a caller.
 #[derive(Debug)]
 pub(super) struct OpenAsk {
     pub(super) request: CallerRequest,
     caller: CallerIdentity,
-    /// Version of the configuration under which it was read.
+    /// Version of the configuration under which the request was interpreted.
     table_version: u64,
     pub(super) since: CoreTime,
     until: CoreTime,
-    /// Whether the own book answers it, once it is as far as the leader was.
-    reading: bool,
-    /// Leader that it was last sent to, and when.
+    /// Whether the local book is to answer it, by a read index.
+    read_locally: bool,
+    /// Leader that it was last sent to, and when. That leader may be this instance.
     pub(super) sent: Option<(PeerAddress, CoreTime)>,
-    /// Copies that a leader, this instance among them, may have taken up and that have no answer.
+    /// Unanswered copies that a leader, possibly this instance, may have accepted.
     pub(super) copies: u32,
 }
 
 impl EntryCore {
     pub(super) fn take_request(&mut self, ticket: Ticket, request: ResolvedRequest) {
-        if self.asks.len() >= ASK_LIMIT {
+        if self.asks.len() >= MAX_OPEN_REQUESTS {
             self.refuse(ticket, RefusalReason::Overload);
             return;
         }
@@ -60,12 +62,12 @@
             self.refuse(ticket, RefusalReason::KeysUnsure);
             return;
         }
-        let asked = match &request.request {
+        let status_job = match &request.request {
             CallerRequest::Status { job } => Some(*job),
             _ => None,
         };
         let caller = request.caller;
-        if let Some(answer) = asked.and_then(|job| self.kept_end(job, &caller)) {
+        if let Some(answer) = status_job.and_then(|job| self.kept_end(job, &caller)) {
             self.actions.push(CoreAction::Answer { ticket, answer });
             return;
         }
@@ -79,33 +81,34 @@
             self.refuse(ticket, RefusalReason::Overload);
             return;
         }
-        let patience = Duration::from_millis(request.patience_ms * PATIENCE_PERCENT / 100);
-        let (since, until) = (self.now, self.now + patience);
-        let ask = OpenAsk {
+        let timeout = Duration::from_millis(request.patience_ms * TIMEOUT_PERCENT / 100);
+        let (since, until) = (self.now, self.now + timeout);
+        let open_request = OpenAsk {
             request: request.request,
             caller: caller.clone(),
             table_version: request.table_version,
             since,
             until,
-            reading: false,
+            read_locally: false,
             sent: None,
             copies: 0,
         };
-        self.asks.insert(ticket, ask);
-        let reader = asked.and_then(|job| self.read_own_book(Origin::Own(ticket), job, &caller));
-        match (reader, self.asks.get_mut(&ticket)) {
-            (Some(leader), Some(ask)) => {
-                ask.reading = true;
-                ask.sent = Some((leader, since));
+        self.asks.insert(ticket, open_request);
+        let confirming_leader =
+            status_job.and_then(|job| self.read_own_book(Origin::Local(ticket), job, &caller));
+        match (confirming_leader, self.asks.get_mut(&ticket)) {
+            (Some(leader), Some(open_request)) => {
+                open_request.read_locally = true;
+                open_request.sent = Some((leader, since));
             }
             (Some(_), None) => {}
-            (None, _) => self.send_ask(ticket),
+            (None, _) => self.send_request(ticket),
         }
     }
 
     fn refuse(&mut self, ticket: Ticket, reason: RefusalReason) {
         self.counters.refuse(reason);
-        // Those who are refused together do not come back together.
+        // Spreads the retries of callers that are refused at the same time.
         let spread = match reason {
             RefusalReason::Overload => ticket % RETRY_SPREAD_MS,
             _ => 0,
@@ -117,7 +120,7 @@
         self.actions.push(CoreAction::Answer { ticket, answer });
     }
 
-    /// Share of new jobs that the leader does not take on, in percent.
+    /// Returns the share of new jobs that the leader does not accept, in percent.
     pub(super) fn refuse_percent(&self) -> u32 {
         match (self.lead.as_deref(), &self.leader) {
             (Some(lead), _) => 100 - lead.load.percent(),
@@ -126,45 +129,47 @@
         }
     }
 
-    /// How a job ended, by the own book: what is in a follower's is kept, and an end stands for good.
+    /// Returns how a job has ended, by a follower's book: it contains only committed events, and the
+    /// end of a job is final.
     ///
-    /// **NOTE:** One that is open here may be over meanwhile, so that is told only with the leader's
-    /// word (see `book_reads`): a caller that was told of a cancel is not shown the job as
-    /// running by another instance.
+    /// A job that is open in this book may have ended since. Its state is returned only with a read index
+    /// of the leader (see `book_reads`), so that a caller whose cancel has been answered does not get
+    /// "running" from another instance.
     pub(super) fn kept_end(&self, job: JobId, caller: &CallerIdentity) -> Option<CallerAnswer> {
         if self.lead.is_some() {
             return None;
         }
         let record = self.book.job(job)?;
-        let over = record.outcome != JobOutcome::Open && self.may_access(record, caller);
-        over.then(|| CallerAnswer::State(record.state()))
+        let ended = record.outcome != JobOutcome::Open && self.may_access(record, caller);
+        ended.then(|| CallerAnswer::State(record.state()))
     }
 
-    fn send_ask(&mut self, ticket: Ticket) {
+    fn send_request(&mut self, ticket: Ticket) {
         let now = self.now;
         let Some(view) = self.leader.as_ref() else {
             return;
         };
         let leader = view.address;
         let own = leader == self.settings.address;
-        if !own && (view.loading || self.age(view.heard_at) > self.silence_of_leader()) {
-            // It stays certain that the request was not taken up. One that reads the ledger says
-            // when it has it; requests sent over and over would fill the link that it reads by.
+        if !own && (view.loading || self.age(view.heard_at) > self.leader_contact_limit()) {
+            // While nothing is sent, it is certain that no leader has accepted the request. A leader that
+            // is loading the ledger announces when it has finished. Repeated requests would fill the link
+            // over which it loads.
             return;
         }
         if own && !self.lead.as_ref().is_some_and(|lead| lead.loaded) {
             return;
         }
-        let Some(ask) = self.asks.get_mut(&ticket) else {
+        let Some(open_request) = self.asks.get_mut(&ticket) else {
             return;
         };
-        ask.sent = Some((leader, now));
-        let (request, caller) = (ask.request.clone(), ask.caller.clone());
-        let table_version = ask.table_version;
-        let first = ask.copies == 0;
-        ask.copies += 1;
+        open_request.sent = Some((leader, now));
+        let (request, caller) = (open_request.request.clone(), open_request.caller.clone());
+        let table_version = open_request.table_version;
+        let first = open_request.copies == 0;
+        open_request.copies += 1;
         if own {
-            self.serve_read(Origin::Own(ticket), table_version, &caller, request);
+            self.serve_interpreted(Origin::Local(ticket), table_version, &caller, request);
         } else {
             let message = PeerMessage::Ask {
                 ticket,
@@ -172,7 +177,7 @@
                 caller,
                 request,
             };
-            // A question that is sent again goes the straight way.
+            // A request that is sent again bypasses the hub.
             if first {
                 self.tell_through_hub(leader, message);
             } else {
@@ -181,65 +186,77 @@
         }
     }
 
-    /// Silence of the leader after which it is not sent requests. Of many members the far ones are
-    /// told of it by others, some tenths of a second later.
-    fn silence_of_leader(&self) -> Duration {
-        let far = self.is_far_of_many();
-        SILENT_LEADER + if far { TOLD_LATER } else { Duration::ZERO }
+    /// Returns the time without contact to the leader after which no requests are sent to it. In a large
+    /// site, members that are not preferred ones learn of the leader through hubs, a few tenths of a
+    /// second later.
+    fn leader_contact_limit(&self) -> Duration {
+        let behind_hubs = self.is_far_of_many();
+        UNRESPONSIVE_LEADER
+            + if behind_hubs {
+                HUB_DELAY
+            } else {
+                Duration::ZERO
+            }
     }
 
-    /// Sends all open requests to the leader that is known now.
+    /// Sends all open requests to the current leader.
     pub(super) fn resend_asks(&mut self) {
         let tickets: Vec<Ticket> = self.asks.keys().copied().collect();
         for ticket in tickets {
-            if let Some(ask) = self.asks.get_mut(&ticket) {
-                ask.reading = false;
-                ask.sent = None;
+            if let Some(open_request) = self.asks.get_mut(&ticket) {
+                open_request.read_locally = false;
+                open_request.sent = None;
             }
-            self.send_ask(ticket);
+            self.send_request(ticket);
         }
     }
 
-    /// Has a request go to the leader that the own book could not answer.
+    /// Sends a request to the leader that the local book could not answer.
     pub(super) fn end_reading(&mut self, ticket: Ticket) {
-        if let Some(ask) = self.asks.get_mut(&ticket) {
-            ask.reading = false;
-            ask.sent = None;
+        if let Some(open_request) = self.asks.get_mut(&ticket) {
+            open_request.read_locally = false;
+            open_request.sent = None;
         }
-        self.send_ask(ticket);
+        self.send_request(ticket);
     }
 
-    /// Sends again what had no answer, and gives up what would come too late.
+    /// Sends unanswered requests again, and ends those whose callers do not wait any longer.
     pub(super) fn run_asks(&mut self) {
         let now = self.now;
         let own = self.settings.address;
-        let resent = self.keeps(SiteGuard::ResentAsk);
+        let resend = self.keeps(SiteGuard::ResentAsk);
         let pause = RESEND_AFTER + self.way_to_leader();
         let unanswered = |(to, at)| to != own && now.saturating_sub(at) > pause;
-        let mut again = Vec::new();
-        let mut over = Vec::new();
-        for (ticket, ask) in &self.asks {
-            let waited = now.saturating_sub(ask.since);
-            if now >= ask.until || (waited > LEADER_WAIT && ask.sent.is_none()) {
-                over.push(*ticket);
-            } else if !ask.reading && ask.sent.is_none_or(|sent| resent && unanswered(sent)) {
-                again.push(*ticket);
+        let mut to_resend = Vec::new();
+        let mut timed_out = Vec::new();
+        for (ticket, open_request) in &self.asks {
+            let waited = now.saturating_sub(open_request.since);
+            if now >= open_request.until
+                || (waited > MAX_LEADER_WAIT && open_request.sent.is_none())
+            {
+                timed_out.push(*ticket);
+            } else if !open_request.read_locally
+                && open_request
+                    .sent
+                    .is_none_or(|sent| resend && unanswered(sent))
+            {
+                to_resend.push(*ticket);
             }
         }
-        for ticket in over {
-            self.give_up(ticket);
+        for ticket in timed_out {
+            self.time_out_request(ticket);
         }
-        for ticket in again {
-            self.send_ask(ticket);
+        for ticket in to_resend {
+            self.send_request(ticket);
         }
     }
 
-    fn give_up(&mut self, ticket: Ticket) {
-        let Some(ask) = self.asks.remove(&ticket) else {
+    fn time_out_request(&mut self, ticket: Ticket) {
+        let Some(open_request) = self.asks.remove(&ticket) else {
             return;
         };
-        self.log_given_up(&ask);
-        if ask.copies > 0 || ask.sent.is_some() {
+        self.log_given_up(&open_request);
+        if open_request.copies > 0 || open_request.sent.is_some() {
             self.counters.count("refusals", "unknown");
             let answer = CallerAnswer::Unknown;
             self.actions.push(CoreAction::Answer { ticket, answer });
@@ -249,15 +266,15 @@
     }
 
     pub(super) fn end_ask(&mut self, ticket: Ticket, answer: CallerAnswer) {
-        let Some(ask) = self.asks.remove(&ticket) else {
+        let Some(open_request) = self.asks.remove(&ticket) else {
             return;
         };
-        let cancels = matches!(ask.request, CallerRequest::Cancel { .. });
+        let cancels = matches!(open_request.request, CallerRequest::Cancel { .. });
         let answer = match answer {
-            // A leader before may have kept it, so it is not sure that it never runs.
-            CallerAnswer::Refused { .. } if ask.copies > 1 => CallerAnswer::Unknown,
-            // Another copy may come after its job and take effect.
-            CallerAnswer::NoSuchJob if cancels && ask.copies > 1 => CallerAnswer::Unknown,
+            // A former leader may have committed the job, so it may still run.
+            CallerAnswer::Refused { .. } if open_request.copies > 1 => CallerAnswer::Unknown,
+            // Another copy may arrive after the job has been submitted, and cancel it.
+            CallerAnswer::NoSuchJob if cancels && open_request.copies > 1 => CallerAnswer::Unknown,
             answer => answer,
         };
         if let CallerAnswer::Refused { reason, .. } = &answer {
@@ -276,7 +293,7 @@
     ) {
         let loaded = self.lead.as_ref().is_some_and(|lead| lead.loaded);
         if loaded {
-            self.serve_read(Origin::Peer(from, ticket), table_version, caller, request);
+            self.serve_interpreted(Origin::Peer(from, ticket), table_version, caller, request);
         } else {
             let answer = None;
             self.tell_through_hub(from, PeerMessage::Reply { ticket, answer });
@@ -291,54 +308,54 @@
     ) {
         match answer {
             Some(CallerAnswer::Refused { .. }) if self.is_served_here(ticket) => {
-                // The leader before turns its copy away; this instance answers its own.
-                if let Some(ask) = self.asks.get_mut(&ticket) {
-                    ask.copies = ask.copies.saturating_sub(1);
+                // The former leader refuses its copy. This instance, which now leads, answers its own.
+                if let Some(open_request) = self.asks.get_mut(&ticket) {
+                    open_request.copies = open_request.copies.saturating_sub(1);
                 }
             }
             Some(answer) => self.end_ask(ticket, answer),
             None => {
-                let Some(ask) = self.asks.get_mut(&ticket) else {
+                let Some(open_request) = self.asks.get_mut(&ticket) else {
                     return;
                 };
-                ask.copies = ask.copies.saturating_sub(1);
+                open_request.copies = open_request.copies.saturating_sub(1);
                 if let Some(leader) = self.leader.as_mut().filter(|view| view.address == from) {
                     leader.loading = true;
                 }
-                if ask.sent.is_some_and(|(to, _)| to == from) {
-                    // It did not take this copy up; it goes out again soon.
+                if open_request.sent.is_some_and(|(to, _)| to == from) {
+                    // That leader has not accepted this copy, so it is sent again soon.
                     let back = RESEND_AFTER - Duration::from_millis(100);
-                    ask.sent = Some((from, self.now.saturating_sub(back)));
+                    open_request.sent = Some((from, self.now.saturating_sub(back)));
                 }
             }
         }
     }
 
-    /// Tells whether this instance leads and has taken a request up itself.
+    /// Returns whether this instance serves a request itself, as the leader.
     fn is_served_here(&self, ticket: Ticket) -> bool {
         let own = self.settings.address;
-        let ask = self.asks.get(&ticket);
-        ask.is_some_and(|ask| ask.sent.is_some_and(|(to, _)| to == own))
+        let open_request = self.asks.get(&ticket);
+        open_request.is_some_and(|open_request| open_request.sent.is_some_and(|(to, _)| to == own))
     }
 
-    /// Answers a request about a job that was not known when it came, now that it is sure that this
-    /// instance led then; meanwhile the job may have been handed in.
-    pub(super) fn serve_unknown(&mut self, ask: UnknownAsk) {
-        let known = match &ask.request {
+    /// Answers a request that waited until it was confirmed that this instance led when the request
+    /// arrived. A job that was unknown then may have been submitted since.
+    pub(super) fn serve_confirmed(&mut self, waiting: UnknownAsk) {
+        let known = match &waiting.request {
             CallerRequest::Status { job } | CallerRequest::Cancel { job } => {
                 self.book.job(*job).is_some()
             }
             CallerRequest::Submit { .. } | CallerRequest::Count { .. } => true,
         };
         if known {
-            self.serve_request(ask.origin, &ask.caller, ask.request);
+            self.serve_request(waiting.origin, &waiting.caller, waiting.request);
         } else {
-            self.answer(ask.origin, CallerAnswer::NoSuchJob);
+            self.answer(waiting.origin, CallerAnswer::NoSuchJob);
         }
     }
 
-    /// Serves a request that was read under a version of the configuration.
-    fn serve_read(
+    /// Serves a request that was interpreted under a version of the configuration.
+    fn serve_interpreted(
         &mut self,
         origin: Origin,
         version: u64,
@@ -350,18 +367,18 @@
             CallerRequest::Submit { spec, .. } => self.book.job(spec.id).is_some(),
             _ => false,
         };
-        match self.read_anew(request, caller, version) {
+        match self.reinterpret(request, caller, version) {
             Ok(request) => self.serve_request(origin, caller, request),
             Err(reason) => {
                 let newer = self.table_version();
                 let detail = format!(
-                    "{}, read under version {version}, {newer} is in force",
+                    "{}, interpreted under version {version}, {newer} is in force",
                     reason.as_str()
                 );
                 self.log("callers", "refuse", id, detail);
                 let retry_ms = RETRY_MS;
                 let answer = match known {
-                    // It may run, handed in before.
+                    // The job may run already, since it was submitted before.
                     true => CallerAnswer::Unknown,
                     false => CallerAnswer::Refused { reason, retry_ms },
                 };
@@ -382,17 +399,17 @@
         }
     }
 
-    /// Number of a queue's jobs of which no task has begun, as far as workers have told: an order
-    /// without an answer may have begun nothing.
+    /// Returns the number of a queue's jobs of which no worker has reported that a task began. A job whose
+    /// order is unanswered counts, since nothing may have begun.
     ///
-    /// The count goes through all jobs, thousands on a large site, and is asked for some ninety times
-    /// a second there: one serves for a while.
+    /// Counting scans all jobs, which are thousands on a large site, and is requested about ninety times a
+    /// second there. So a count is reused for a while.
     fn count_waiting(&mut self, queue: &str) -> u64 {
         let now = self.now;
         let lead = self.lead.as_deref();
         let known = lead.and_then(|lead| lead.waiting_counts.get(queue));
-        let lately = known.filter(|(at, _)| now.saturating_sub(*at) < COUNT_AGE);
-        if let Some((_, count)) = lately {
+        let recent = known.filter(|(at, _)| now.saturating_sub(*at) < MAX_COUNT_AGE);
+        if let Some((_, count)) = recent {
             return *count;
         }
         let count = self.count_waiting_now(queue);
@@ -415,7 +432,7 @@
 
     fn serve_status(&mut self, origin: Origin, caller: &CallerIdentity, job: JobId) {
         let Some(record) = self.book.job(job) else {
-            self.confirm_unknown(origin, caller, CallerRequest::Status { job });
+            self.await_confirmation(origin, caller, CallerRequest::Status { job });
             return;
         };
         if !self.may_access(record, caller) {
@@ -424,11 +441,11 @@
         }
         let state = record.state();
         let open = matches!(state, JobState::Pending | JobState::Running);
-        // Another may have led while this instance stood still or was cut off, and cancelled or ended
-        // the job.
-        let doubts = self.lead.as_deref().is_some_and(LeadState::doubts_its_lead);
-        if open && (doubts || self.is_cut_off()) {
-            self.confirm_unknown(origin, caller, CallerRequest::Status { job });
+        // While this instance was frozen or cut off, another leader may have cancelled the job or
+        // recorded its end.
+        let unconfirmed = self.lead.as_deref().is_some_and(LeadState::doubts_its_lead);
+        if open && (unconfirmed || self.is_cut_off()) {
+            self.await_confirmation(origin, caller, CallerRequest::Status { job });
             return;
         }
         let ending = |lead: &LeadState| lead.ending.contains(&job);
@@ -450,7 +467,7 @@
 
     fn serve_cancel(&mut self, origin: Origin, caller: &CallerIdentity, job: JobId) {
         let Some(record) = self.book.job(job) else {
-            self.confirm_unknown(origin, caller, CallerRequest::Cancel { job });
+            self.await_confirmation(origin, caller, CallerRequest::Cancel { job });
             return;
         };
         if !self.may_access(record, caller) {
@@ -468,8 +485,14 @@
         }
     }
 
-    /// Says that there is no such job only after it is sure that this instance leads.
-    fn confirm_unknown(&mut self, origin: Origin, caller: &CallerIdentity, request: CallerRequest) {
+    /// Queues a request until it is confirmed that this instance leads: only then it may answer that
+    /// there is no such job, or that a job is open.
+    fn await_confirmation(
+        &mut self,
+        origin: Origin,
+        caller: &CallerIdentity,
+        request: CallerRequest,
+    ) {
         let at = self.now;
         let caller = caller.clone();
         if let Some(lead) = self.lead.as_deref_mut() {
--- a/crates/bankvalve_queue/src/core/customer_access.rs
+++ b/crates/bankvalve_queue/src/core/customer_access.rs
@@ -7,12 +7,12 @@
 use crate::ids::JobId;
 use crate::ledger::JobRecord;
 
-/// Words for a caller or a job without a customer.
+/// Log text for a caller or a job without a customer.
 const NO_CUSTOMER: &str = "no customer";
 
 impl EntryCore {
-    /// Tells whether a caller may see and cancel a job: its customer may, and anybody where the job
-    /// has none or its queue is public.
+    /// Returns whether a caller may see and cancel a job. The job's customer may, and everyone may if the
+    /// job has no customer or its queue is public.
     pub(super) fn may_access(&self, record: &JobRecord, caller: &CallerIdentity) -> bool {
         let spec = &record.spec;
         if spec.customer.is_none() || spec.customer == caller.customer {
@@ -25,31 +25,34 @@
         rule.is_some_and(|rule| !rule.keyed)
     }
 
-    /// Tells a caller of another customer's job what it would be told of one that is not there.
+    /// Answers a request about another customer's job as if the job did not exist.
     pub(super) fn hide_job(&mut self, origin: Origin, caller: &CallerIdentity, job: JobId) {
         let record = self.book.job(job);
         let owner = record.and_then(|record| record.spec.customer.clone());
-        self.log_stranger(job, owner.as_deref(), caller.customer.as_deref());
+        self.log_foreign_access(job, owner.as_deref(), caller.customer.as_deref());
         self.answer(origin, CallerAnswer::NoSuchJob);
     }
 
-    /// A job is handed in under the id of another customer's job.
-    pub(super) fn refuse_stranger(
+    /// Refuses a job that is submitted under the id of another customer's job.
+    pub(super) fn refuse_foreign_id(
         &mut self,
         origin: Origin,
         job: JobId,
         owner: Option<&str>,
-        other: Option<&str>,
+        requester: Option<&str>,
     ) {
-        self.log_stranger(job, owner, other);
+        self.log_foreign_access(job, owner, requester);
         self.answer(origin, CallerAnswer::IdInUse);
     }
 
-    fn log_stranger(&mut self, job: JobId, owner: Option<&str>, other: Option<&str>) {
+    fn log_foreign_access(&mut self, job: JobId, owner: Option<&str>, requester: Option<&str>) {
         self.counters.count("callers", "other_customer");
-        let (owner, other) = (owner.unwrap_or(NO_CUSTOMER), other.unwrap_or(NO_CUSTOMER));
+        let (owner, requester) = (
+            owner.unwrap_or(NO_CUSTOMER),
+            requester.unwrap_or(NO_CUSTOMER),
+        );
         self.log_often("callers", "other_customer", || {
-            let detail = format!("asked by {other}, the job is that of {owner}");
+            let detail = format!("requested by {requester}, the job belongs to {owner}");
             (format!("{job:016x}"), detail)
         });
     }
--- a/crates/bankvalve_queue/src/core/customer_limits.rs
+++ b/crates/bankvalve_queue/src/core/customer_limits.rs
@@ -1,10 +1,10 @@
-//! What each customer has running, and what it may start beside that.
+//! Limits of customers: what each has running, and what it may start in addition.
 //!
-//! The pattern that it answers: starts come by many ways (first ones, repeats, gangs, into room that
-//! was made, of tasks that were lost, after a takeover), and a limit that one of them passes by is
-//! broken. All of them pass [`EntryCore::within_limit`]. What runs is not counted beside the runs,
-//! where it could differ, but summed up from them for each placement: a run counts from the moment
-//! that it is decided on until its end is known, on whichever worker, under whichever leader.
+//! Problem: tasks start for many reasons (first starts, retries, gangs, into reclaimed capacity, after a
+//! loss, after a takeover), and one kind of start that skips the check breaks the limit. So all of them
+//! go through [`EntryCore::within_limit`]. The usage is not stored in a counter, which could deviate
+//! from the runs, but summed up from the runs for each placement. A run counts from the decision to
+//! start it until its end is known, on any worker and under any leader.
 
 use std::collections::BTreeMap;
 
@@ -18,22 +18,22 @@
 use crate::job::{JobSpec, TaskSize};
 use crate::queue_table::QueueTable;
 
-/// A customer's limit, as the last configuration that named the customer had it.
+/// A customer's limit, from the last configuration that contains the customer.
 #[derive(Clone, Copy, Debug, Default)]
 struct KnownLimit {
     limit: RunLimit,
-    /// When it was last lowered.
+    /// When the limit was last lowered.
     lowered_at: Option<CoreTime>,
 }
 
-/// Limits of all customers that were ever named.
+/// Limits of all customers that any configuration so far contains.
 #[derive(Debug, Default)]
 pub(super) struct CustomerLimits {
     known: BTreeMap<CustomerName, KnownLimit>,
 }
 
 impl CustomerLimits {
-    /// Takes the limits of a configuration. A customer that it does not name keeps its limit.
+    /// Takes over the limits of a configuration. A customer that is not in it keeps its limit.
     fn update(&mut self, table: &QueueTable, now: CoreTime) {
         for rule in table.customers() {
             let known = self.known.entry(rule.name.clone()).or_default();
@@ -44,23 +44,24 @@
         }
     }
 
-    /// A customer's limit, if it has one.
+    /// Returns a customer's limit, or `None` if it is unlimited.
     fn of(&self, customer: Option<&CustomerName>) -> Option<&KnownLimit> {
         let known = self.known.get(customer?)?;
         (!known.limit.is_unlimited()).then_some(known)
     }
 
-    /// Whether customers were ever named.
+    /// Returns whether any configuration so far contains customers.
     pub(super) fn are_known(&self) -> bool {
         !self.known.is_empty()
     }
 
-    fn are_any(&self) -> bool {
+    fn has_limits(&self) -> bool {
         self.known.values().any(|known| !known.limit.is_unlimited())
     }
 }
 
-/// What customers have running, and what is kept for gangs of theirs that wait for their limit.
+/// What customers have running, and during a placement also what is reserved for steps that wait for
+/// their customer's limit.
 #[derive(Debug, Default)]
 pub(super) struct CustomerUsage {
     running: BTreeMap<CustomerName, TaskSize>,
@@ -71,7 +72,7 @@
         self.running.get(customer).copied().unwrap_or_default()
     }
 
-    /// Customers with what they have running.
+    /// Returns the customers with what they have running.
     pub(super) fn running(&self) -> impl Iterator<Item = (&CustomerName, &TaskSize)> {
         self.running.iter()
     }
@@ -83,7 +84,7 @@
 }
 
 impl LeadState {
-    /// Sums up what each customer has running, or may have.
+    /// Sums up what each customer has running, or may have running.
     pub(super) fn sum_usage(&self) -> CustomerUsage {
         let mut usage = CustomerUsage::default();
         let runs = self.seats.values().flat_map(|seat| seat.runs.values());
@@ -97,14 +98,14 @@
 }
 
 impl EntryCore {
-    /// Takes the limits of a configuration that is about to be in force.
+    /// Takes over the limits of a configuration that is about to be in force.
     pub(super) fn note_limits(&mut self, table: &QueueTable) {
         self.limits.update(table, self.now);
     }
 
-    /// Sums up what runs, for a placement.
+    /// Sums up what customers have running, for a placement.
     pub(super) fn begin_usage(&mut self) {
-        let any = self.limits.are_any();
+        let any = self.limits.has_limits();
         if let Some(lead) = self.lead.as_deref_mut() {
             lead.usage = match any {
                 true => lead.sum_usage(),
@@ -113,13 +114,14 @@
         }
     }
 
-    /// Leaves out steps, the first in rank first, of which no task may start beside what runs.
+    /// Removes the steps that wait for their customer's limit, of which no task may start now. `ranked` is
+    /// in the order of placement.
     ///
-    /// Room below its limit is kept for a gang: smaller steps of its customer that come later would
-    /// fill it again and again. Once it is, only urgent steps come before the gang, so that it is not
-    /// shut out for being late.
+    /// What is free below the limit is reserved for a gang that waits for it: otherwise smaller steps of
+    /// its customer would use it up again and again. From the next placement on, only urgent steps come
+    /// before such a gang, so that a late gang is not overtaken by steps that are still in time.
     pub(super) fn leave_out_at_limit<Rank>(&mut self, ranked: &mut Vec<(Rank, StepKey)>) {
-        if !self.limits.are_any() || !self.keeps(SiteGuard::CustomerLimit) {
+        if !self.limits.has_limits() || !self.keeps(SiteGuard::CustomerLimit) {
             return;
         }
         let (limits, now) = (&self.limits, self.now);
@@ -127,18 +129,18 @@
             return;
         };
         let (waiting, usage) = (&lead.waiting, &mut lead.usage);
-        let before = &lead.held_back;
-        let is_kept_for = |key: &StepKey| {
+        let previous = &lead.held_back;
+        let is_waiting_gang = |key: &StepKey| {
             let step = waiting.get(key).filter(|step| step.gang);
-            let held = before.get(key) == Some(&LimitStand::AtLimit);
-            held && step.is_some_and(|step| !step.is_beyond_share(now))
+            let at_limit = previous.get(key) == Some(&LimitStand::AtLimit);
+            at_limit && step.is_some_and(|step| !step.is_beyond_share(now))
         };
-        if before.keys().any(is_kept_for) {
+        if previous.keys().any(is_waiting_gang) {
             let is_urgent = |key: &StepKey| {
                 let step = waiting.get(key);
                 step.is_some_and(|step| step.is_urgent() && !step.is_beyond_share(now))
             };
-            ranked.sort_by_key(|(_, key)| match (is_urgent(key), is_kept_for(key)) {
+            ranked.sort_by_key(|(_, key)| match (is_urgent(key), is_waiting_gang(key)) {
                 (true, _) => 0,
                 (false, true) => 1,
                 (false, false) => 2,
@@ -152,35 +154,36 @@
             let Some(known) = limits.of(step.customer.as_ref()) else {
                 return true;
             };
-            let stands = stands_of(step, &known.limit, usage);
-            if stands != LimitStand::Within {
-                held_back.insert(*key, stands);
+            let status = limit_status(step, &known.limit, usage);
+            if status != LimitStand::Within {
+                held_back.insert(*key, status);
             }
-            stands == LimitStand::Within
+            status == LimitStand::Within
         });
-        let before = std::mem::replace(&mut lead.held_back, held_back);
-        self.tell_held_back(&before);
+        let previous = std::mem::replace(&mut lead.held_back, held_back);
+        self.log_limit_waits(&previous);
     }
 
-    /// Logs steps that wait for their customer's limit since the last placement.
-    fn tell_held_back(&mut self, before: &BTreeMap<StepKey, LimitStand>) {
+    /// Logs the steps that have begun to wait for their customer's limit, or whose status has changed.
+    fn log_limit_waits(&mut self, previous: &BTreeMap<StepKey, LimitStand>) {
         let Some(lead) = self.lead.as_deref() else {
             return;
         };
-        let news = lead.held_back.iter();
-        let news = news.filter(|(key, stands)| before.get(key) != Some(stands));
-        let news: Vec<(StepKey, LimitStand)> = news.map(|(key, stands)| (*key, *stands)).collect();
-        for (key, stands) in news {
-            self.counters.count("placements", stands.as_str());
-            if self.log_budget.may_log(self.now, "placer", stands.as_str()) {
-                let detail = self.held_back_text(key);
-                self.log("placer", stands.as_str(), key.to_string(), detail);
+        let changed = lead.held_back.iter();
+        let changed = changed.filter(|(key, status)| previous.get(key) != Some(status));
+        let changed: Vec<(StepKey, LimitStand)> =
+            changed.map(|(key, status)| (*key, *status)).collect();
+        for (key, status) in changed {
+            self.counters.count("placements", status.as_str());
+            if self.log_budget.may_log(self.now, "placer", status.as_str()) {
+                let detail = self.limit_wait_text(key);
+                self.log("placer", status.as_str(), key.to_string(), detail);
             }
         }
     }
 
-    /// For the log: what a step's customer has running, and what it may.
-    fn held_back_text(&self, key: StepKey) -> String {
+    /// Returns the log text of a step that waits: what its customer has running, and its limit.
+    fn limit_wait_text(&self, key: StepKey) -> String {
         let lead = self.lead.as_deref();
         let step = lead.and_then(|lead| lead.waiting.get(&key));
         let Some((lead, step)) = lead.zip(step) else {
@@ -193,13 +196,13 @@
         let limit = self.limits.of(Some(customer)).map(|known| known.limit);
         let (tasks, each) = (step.tasks, step.size);
         format!(
-            "{tasks} tasks of {each:?} of {customer}, which has {running:?} running of {limit:?}"
+            "{tasks} tasks of {each:?} of {customer}, which has {running:?} running, limit {limit:?}"
         )
     }
 
-    /// Of a choice of workers the part that the customer's limit admits: of a gang all or nothing.
+    /// Reduces the chosen workers to as many as the customer's limit allows: for a gang, all or none.
     ///
-    /// Each start passes here.
+    /// Every start goes through this function.
     pub(super) fn within_limit<Choice>(
         &mut self,
         step: &PlacedStep,
@@ -220,7 +223,7 @@
         choice
     }
 
-    /// Tasks of a size that a customer may start beside what it has running.
+    /// Returns how many tasks of a size a customer may start in addition to what it has running.
     pub(super) fn tasks_within_limit(&self, customer: &CustomerName, size: &TaskSize) -> usize {
         let known = self.limits.of(Some(customer));
         let Some(known) = known.filter(|_| self.keeps(SiteGuard::CustomerLimit)) else {
@@ -232,8 +235,9 @@
         usize::try_from(count).unwrap_or(usize::MAX)
     }
 
-    /// Tells whether a start that is about to be sent is still within its customer's limit: that may
-    /// have been lowered while the start was being kept, which takes seconds where the table is slow.
+    /// Returns whether a start that is about to be sent is still within its customer's limit. The limit
+    /// may have been lowered while the start was being committed, which takes seconds if the table is
+    /// slow.
     pub(super) fn is_within_limit_now(&self, id: &WorkerId, task: TaskKey) -> bool {
         if !self.keeps(SiteGuard::LimitOfNow) {
             return true;
@@ -255,7 +259,7 @@
         customer.is_none_or(|customer| known.limit.admits(&lead.sum_usage().of(customer)))
     }
 
-    /// Tells whether a gang of a job is larger than its customer may ever run at once.
+    /// Returns whether a gang of a job exceeds its customer's limit by itself, so that it can never run.
     pub(super) fn is_beyond_limit(&self, spec: &JobSpec) -> bool {
         let Some(known) = self.limits.of(spec.customer.as_ref()) else {
             return false;
@@ -266,19 +270,19 @@
     }
 }
 
-/// How a step stands with its customer's limit.
+/// Whether a step may start tasks within its customer's limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum LimitStand {
-    /// A task of it may start, or the whole gang.
+    /// At least one task may start, or the entire gang.
     Within,
-    /// It waits until less of its customer's runs.
+    /// The step waits until its customer has less running.
     AtLimit,
-    /// It is a gang that is larger than the limit, which was lowered since it was accepted.
+    /// The step is a gang that exceeds the limit, which was lowered after the job was accepted.
     BeyondLimit,
 }
 
 impl LimitStand {
-    /// Word for logs and counters.
+    /// Returns the name in logs and counters.
     fn as_str(self) -> &'static str {
         match self {
             LimitStand::Within => "within_limit",
@@ -288,7 +292,7 @@
     }
 }
 
-fn stands_of(step: &WaitingStep, limit: &RunLimit, usage: &mut CustomerUsage) -> LimitStand {
+fn limit_status(step: &WaitingStep, limit: &RunLimit, usage: &mut CustomerUsage) -> LimitStand {
     let Some(customer) = &step.customer else {
         return LimitStand::Within;
     };
--- a/crates/bankvalve_queue/src/core/customer_shares.rs
+++ b/crates/bankvalve_queue/src/core/customer_shares.rs
@@ -1,13 +1,16 @@
-//! What customers send beyond their shares comes after what the others send within theirs.
+//! Shares of customers: jobs beyond their customer's share come after the jobs of other customers that
+//! are within theirs.
 //!
-//! The pattern that it answers: one customer sends many times its usual. Served in the order in
-//! which jobs come, it takes the room of all others, who have sent no more than before. So each
-//! customer has a token bucket that fills at its weight; a job for which there is no token starts
-//! where nothing else wants the room, and is refused at once while much else waits for it.
+//! Problem: one customer submits many times more jobs than usual. If jobs were served in the order of
+//! their arrival, it would take the capacity of all other customers, which submit no more than before.
+//! So each customer has a token bucket that fills at the rate of its weight. A job without a token
+//! starts only in capacity that no other job needs, and is refused at once while many tasks wait for
+//! capacity.
 //!
-//! Such a job has its turn when the bucket has filled for it and for those of its customer before it
-//! that are still open, so that none waits for ever; one that is over by then gives its token back, so
-//! that a customer does not pay for room that nobody else wanted.
+//! The scheduled start of such a job is when the bucket has filled for it and for the customer's earlier
+//! open jobs of this kind. From then on it ranks like a job within the share, so no job waits forever.
+//! A job that ends before that time returns its token, so a customer does not pay for capacity that
+//! nobody else needed.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -19,47 +22,48 @@
 use crate::ids::{CoreTime, JobId};
 use crate::policy::PolicySwitch;
 
-/// Time for which a customer's bucket fills until it is full: callers come in waves.
-const BUCKET_TIME: Duration = Duration::from_millis(2_000);
-/// Least tokens that a full bucket holds, so that a small customer may send a few jobs together.
-const LEAST_TOKENS: f64 = 4.0;
-/// Processor for which tasks wait, as a share of all room in percent, from which on jobs beyond
-/// their customer's share are refused.
-const FULL_PERCENT: u64 = 25;
-/// When a caller whose job is beyond its customer's share may come back, at least and at most, in
+/// Time in which an empty bucket becomes full. It allows for bursts, since jobs arrive in waves.
+const BUCKET_FILL_TIME: Duration = Duration::from_millis(2_000);
+/// Minimum capacity of a bucket, in tokens, so that a small customer may submit a few jobs at once.
+const MIN_CAPACITY: f64 = 4.0;
+/// CPU that waiting tasks request, in percent of the CPU of all workers, from which jobs beyond their
+/// customer's share are refused.
+const SITE_FULL_PERCENT: u64 = 25;
+/// Minimum and maximum time after which a caller may retry whose job was beyond its customer's share,
+/// in milliseconds.
+const RETRY_RANGE_MS: (u64, u64) = (1_000, 5_000);
+/// Time range over which the retries of callers that are refused at the same time are spread, in
 /// milliseconds.
-const COME_BACK_MS: (u64, u64) = (1_000, 5_000);
-/// Span over which those who are refused together come back, in milliseconds.
 const SPREAD_MS: u64 = 1_000;
 
-/// Longest time until a job has its turn, in seconds.
-const LONGEST_TURN_S: f64 = 300.0;
-/// Customers that metrics name at most.
-const VIEWS: usize = 64;
+/// Maximum time until the scheduled start of a job, in seconds.
+const MAX_START_DELAY_S: f64 = 300.0;
+/// Maximum number of customers in the metrics.
+const MAX_CUSTOMER_VIEWS: usize = 64;
 
-/// Tokens of one customer.
+/// Token bucket of one customer.
 #[derive(Clone, Copy, Debug)]
 struct TokenBucket {
     tokens: f64,
     filled_at: CoreTime,
 }
 
-/// When a job has its turn beside those within their customers' shares.
+/// Scheduled start of a job beyond its customer's share: from then on it ranks like one within it.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct JobTurn {
     pub(super) at: CoreTime,
-    /// Time from its coming to its turn.
+    /// Time from its submission to its scheduled start.
     pub(super) wait: Duration,
 }
 
-/// An open job that was beyond its customer's share when it came.
+/// An open job that was beyond its customer's share when it was submitted.
 #[derive(Clone, Debug)]
 struct BeyondJob {
     customer: CustomerName,
     turn: JobTurn,
 }
 
-/// Jobs of one customer, as this leader has counted them.
+/// Number of jobs of one customer under this leader.
 #[derive(Clone, Copy, Debug, Default)]
 struct JobTally {
     accepted: u64,
@@ -68,7 +72,7 @@
 }
 
 impl TokenBucket {
-    /// Fills it up to a time, at a weight in jobs a second.
+    /// Fills the bucket up to `now`, at the rate of a weight in jobs per second.
     fn fill(&mut self, weight: f64, now: CoreTime) {
         let passed = now.saturating_sub(self.filled_at).as_secs_f64();
         self.tokens = (self.tokens + passed * weight).min(capacity_of(weight));
@@ -77,26 +81,26 @@
 }
 
 fn capacity_of(weight: f64) -> f64 {
-    (weight * BUCKET_TIME.as_secs_f64()).max(LEAST_TOKENS)
+    (weight * BUCKET_FILL_TIME.as_secs_f64()).max(MIN_CAPACITY)
 }
 
-/// Who has sent more than its share lately.
+/// Token buckets of customers, and their jobs beyond their shares.
 #[derive(Debug, Default)]
 pub(super) struct CustomerShares {
     buckets: BTreeMap<CustomerName, TokenBucket>,
     tallies: BTreeMap<CustomerName, JobTally>,
     beyond: BTreeMap<JobId, BeyondJob>,
-    /// Processor for which tasks waited at the last placement, as a share of all room in percent.
+    /// CPU that waiting tasks requested at the last placement, in percent of the CPU of all workers.
     backlog_percent: u64,
 }
 
 impl CustomerShares {
-    /// When a job has its turn, if it was beyond its customer's share when it came.
+    /// Returns the scheduled start of a job that was beyond its customer's share, or `None` for any other.
     pub(super) fn turn_of(&self, job: JobId) -> Option<JobTurn> {
         self.beyond.get(&job).map(|beyond| beyond.turn)
     }
 
-    /// A job is over.
+    /// Removes a job that has ended, and returns its token if it ended before its scheduled start.
     pub(super) fn end_job(&mut self, job: JobId, now: CoreTime) {
         let Some(beyond) = self.beyond.remove(&job) else {
             return;
@@ -107,15 +111,15 @@
         }
     }
 
-    /// Forgets jobs that are over.
+    /// Removes jobs that are no longer open.
     pub(super) fn retain(&mut self, open: impl Fn(JobId) -> bool) {
         self.beyond.retain(|job, _| open(*job));
     }
 }
 
 impl EntryCore {
-    /// Takes a token for a job that comes, or tells when its caller may come back if there is none
-    /// and the site is full.
+    /// Takes a token for a submitted job. If there is none and the site is full, returns the time after
+    /// which the caller may retry, in milliseconds.
     pub(super) fn take_share(
         &mut self,
         job: JobId,
@@ -148,16 +152,16 @@
             bucket.tokens -= 1.0;
             return Ok(());
         }
-        if shares.backlog_percent >= FULL_PERCENT {
+        if shares.backlog_percent >= SITE_FULL_PERCENT {
             tally.accepted -= 1;
             tally.refused += 1;
-            let (least, most) = COME_BACK_MS;
+            let (least, most) = RETRY_RANGE_MS;
             let wait_ms = (1.0 - bucket.tokens) / weight * 1_000.0;
             return Err((wait_ms as u64).clamp(least, most) + job % SPREAD_MS);
         }
         tally.beyond_share += 1;
         bucket.tokens -= 1.0;
-        let wait = Duration::from_secs_f64((-bucket.tokens / weight).clamp(0.0, LONGEST_TURN_S));
+        let wait = Duration::from_secs_f64((-bucket.tokens / weight).clamp(0.0, MAX_START_DELAY_S));
         let beyond = BeyondJob {
             customer: customer.clone(),
             turn: JobTurn {
@@ -170,9 +174,9 @@
         Ok(())
     }
 
-    /// Customers with the most running, for the metrics.
+    /// Returns the customers with the most CPU in use, for the metrics.
     pub(super) fn customer_views(&self) -> Vec<CustomerView> {
-        // Without a configuration it is not known either that customers have no limits.
+        // Without a configuration, customers may have limits that are not known yet.
         let may_be_limited = self.limits.are_known() || self.table.is_none();
         let Some(lead) = self.lead.as_deref().filter(|_| may_be_limited) else {
             return Vec::new();
@@ -201,11 +205,12 @@
             })
             .collect();
         views.sort_by_key(|view| Reverse(view.running.millicores));
-        views.truncate(VIEWS);
+        views.truncate(MAX_CUSTOMER_VIEWS);
         views
     }
 
-    /// Notes how much waits for room, at a placement.
+    /// Records how much CPU the waiting tasks request, for a placement. Steps that wait for their customer's
+    /// limit do not count.
     pub(super) fn note_backlog(&mut self) {
         if !self.limits.are_known() {
             return;
@@ -217,8 +222,8 @@
         let waiting = waiting.filter(|(key, _)| !lead.held_back.contains_key(key));
         let wanted = waiting.map(|(_, step)| step.size.millicores * u64::from(step.tasks));
         let wanted: u64 = wanted.sum();
-        let rooms = lead.seats.values().map(|seat| seat.entry.room.millicores);
-        let all: u64 = rooms.sum();
+        let capacities = lead.seats.values().map(|seat| seat.entry.room.millicores);
+        let all: u64 = capacities.sum();
         lead.shares.backlog_percent = wanted * 100 / all.max(1);
     }
 }
--- a/crates/bankvalve_queue/src/core/denials.rs
+++ b/crates/bankvalve_queue/src/core/denials.rs
@@ -1,14 +1,15 @@
-//! Denials: what the configuration in force does not have is denied only once it is known that no
-//! newer one has it.
+//! Denials: a queue or a key that is not in the configuration in force is denied only once it is
+//! known that no newer configuration has it.
 //!
-//! The pattern that it answers: callers that ask for queues, or with keys, that an instance does not
-//! know. Those who are told so are gone, although the queue or the key may have been added a moment
-//! ago; each of them asked about by itself, one caller with a wrong key would fill the table's reads.
-//! So all that come meanwhile wait for one question to the table, and the next follows after a pause.
+//! Problem: callers name queues, or send keys, that an instance does not know. A caller that is denied
+//! does not retry, although the queue or the key may have been added a moment ago. But with a query of
+//! its own for each request, one caller with a wrong key would use up the table's reads. So all
+//! requests that arrive in the meantime wait for one configuration query, and the next query follows
+//! after a pause.
 
 use std::time::Duration;
 
-use super::callers::{PATIENCE_PERCENT, RETRY_MS};
+use super::callers::{RETRY_MS, TIMEOUT_PERCENT};
 use super::EntryCore;
 use crate::caller::{CallerAnswer, CallerRequest, DenialReason, RefusalReason};
 use crate::core::CoreAction;
@@ -16,54 +17,54 @@
 use crate::guard::SiteGuard;
 use crate::ids::{CoreTime, Ticket};
 
-/// Longest that a caller waits until it is known whether there is a newer configuration: the table
-/// answers within some milliseconds, a slow one in half a second.
-const LOOKUP_LIMIT: Duration = Duration::from_millis(1_000);
-/// Most callers that wait for it.
-const LOOKUP_COUNT: usize = 2_000;
+/// Maximum time that a caller waits until it is known whether there is a newer configuration. The
+/// table answers within a few milliseconds, or half a second if it is slow.
+const MAX_LOOKUP_WAIT: Duration = Duration::from_millis(1_000);
+/// Maximum number of callers that wait for a configuration query.
+const MAX_LOOKUPS: usize = 2_000;
 
-/// A caller whose request the configuration in force denies.
+/// A caller whose request would be denied by the configuration in force.
 #[derive(Debug)]
 pub(super) struct DenialLookup {
     ticket: Ticket,
-    /// Host and path that it named.
-    asked: String,
+    /// Host and path that the caller named.
+    host_and_path: String,
     reason: DenialReason,
     at: CoreTime,
     until: CoreTime,
 }
 
 impl EntryCore {
-    /// A caller's request is denied by the configuration in force. It is told so only once the
-    /// table has said, after the request came, which configuration is the newest.
+    /// Handles a request that the configuration in force denies. The caller is denied only once the table
+    /// has reported, to a query sent after the request arrived, which configuration is the newest.
     pub(super) fn take_denial(
         &mut self,
         ticket: Ticket,
-        asked: String,
+        host_and_path: String,
         reason: DenialReason,
         patience_ms: u64,
     ) {
-        let patience = Duration::from_millis(patience_ms * PATIENCE_PERCENT / 100);
+        let timeout = Duration::from_millis(patience_ms * TIMEOUT_PERCENT / 100);
         let lookup = DenialLookup {
             ticket,
-            asked,
+            host_and_path,
             reason,
             at: self.now,
-            until: self.now + patience.min(LOOKUP_LIMIT),
+            until: self.now + timeout.min(MAX_LOOKUP_WAIT),
         };
         if !self.keeps(SiteGuard::KnownNewest) {
             self.deny(lookup);
             return;
         }
-        if self.tables.lookups.len() >= LOOKUP_COUNT {
-            self.refuse_lookup(lookup, "too many wait");
+        if self.tables.lookups.len() >= MAX_LOOKUPS {
+            self.refuse_lookup(lookup, "too many callers wait");
             return;
         }
         self.tables.lookups.push(lookup);
         self.run_table();
     }
 
-    /// The configuration in force is as new as the table's was at a time.
+    /// Denies the callers that came before `asked_at`: the configuration in force was the newest then.
     pub(super) fn end_lookups(&mut self, asked_at: CoreTime) {
         let lookups = std::mem::take(&mut self.tables.lookups);
         let (ready, later): (Vec<_>, Vec<_>) = lookups
@@ -75,18 +76,18 @@
         }
     }
 
-    /// Gives up those that the table does not answer in time.
+    /// Refuses the callers for which the table has not answered in time.
     pub(super) fn end_old_lookups(&mut self) {
         let now = self.now;
         if self.tables.lookups.iter().all(|lookup| now < lookup.until) {
             return;
         }
         let lookups = std::mem::take(&mut self.tables.lookups);
-        let (over, waiting): (Vec<_>, Vec<_>) =
+        let (timed_out, waiting): (Vec<_>, Vec<_>) =
             lookups.into_iter().partition(|lookup| now >= lookup.until);
         self.tables.lookups = waiting;
-        for lookup in over {
-            self.refuse_lookup(lookup, "the table does not tell");
+        for lookup in timed_out {
+            self.refuse_lookup(lookup, "the table does not answer");
         }
     }
 
@@ -98,7 +99,7 @@
         self.counters.count("callers", reason);
         self.log_often("callers", reason, || {
             (
-                lookup.asked,
+                lookup.host_and_path,
                 format!("{reason}, version {version} is the newest"),
             )
         });
@@ -113,8 +114,8 @@
         let denial = lookup.reason.as_str();
         let ticket = lookup.ticket;
         self.log_often("callers", "denial_unsure", || {
-            let detail = format!("{denial}, version {version} may be old: {why}");
-            (lookup.asked, detail)
+            let detail = format!("{denial}, version {version} may be outdated: {why}");
+            (lookup.host_and_path, detail)
         });
         let answer = CallerAnswer::Refused {
             reason,
@@ -123,11 +124,11 @@
         self.actions.push(CoreAction::Answer { ticket, answer });
     }
 
-    /// What the leader's own configuration makes of a request that was read under another.
+    /// Applies the leader's configuration to a request that an instance interpreted under `version`.
     ///
-    /// A newer one here gives its terms, and has the last word on whether the queue and the key are
-    /// there.
-    pub(super) fn read_anew(
+    /// If the leader's configuration is newer, the job gets its terms, and it decides whether the queue and
+    /// the key exist.
+    pub(super) fn reinterpret(
         &self,
         request: CallerRequest,
         caller: &CallerIdentity,
@@ -140,7 +141,7 @@
         let key_dropped = caller.key.as_ref().is_some_and(dropped);
         match request {
             _ if key_dropped && self.keeps(SiteGuard::LeaderKeys) => Err(RefusalReason::KeyDropped),
-            // A copy of one that may be taken up already must not be told that it never runs.
+            // A copy of a job that is known already must not be refused, since the job may run.
             CallerRequest::Submit { spec, .. } if self.book.job(spec.id).is_none() => {
                 let rule = table
                     .queue(&spec.queue)
--- a/crates/bankvalve_queue/src/core/submissions.rs
+++ b/crates/bankvalve_queue/src/core/submissions.rs
@@ -1,4 +1,4 @@
-//! Jobs that are handed in: accepted, or refused and why.
+//! Submitted jobs: whether they are accepted, or why they are refused.
 
 use std::sync::Arc;
 
@@ -11,20 +11,20 @@
 use crate::job::{JobSpec, JobTerms};
 use crate::ledger::LedgerEvent;
 
-/// Most events that may wait to be kept.
-const PENDING_LIMIT: usize = 5_000;
+/// Maximum number of pending events above which new jobs are refused.
+const MAX_PENDING_EVENTS: usize = 5_000;
 
 impl EntryCore {
-    /// Serves a job that is handed in, as the leader.
+    /// Accepts or refuses a submitted job, as the leader.
     pub(super) fn serve_submit(&mut self, origin: Origin, spec: Arc<JobSpec>, terms: JobTerms) {
         let job = spec.id;
         if let Some(record) = self.book.job(job) {
             if record.spec.customer != spec.customer {
                 let (owner, other) = (record.spec.customer.clone(), spec.customer.clone());
-                self.refuse_stranger(origin, job, owner.as_deref(), other.as_deref());
+                self.refuse_foreign_id(origin, job, owner.as_deref(), other.as_deref());
                 return;
             }
-            if self.store_is_away() && self.is_unkept(job) {
+            if self.store_is_away() && self.is_uncommitted(job) {
                 self.answer(origin, CallerAnswer::Unknown);
                 return;
             }
@@ -32,14 +32,14 @@
             return;
         }
         if self.is_beyond_limit(&spec) {
-            self.refuse_for_good(origin, job);
+            self.refuse_beyond_limit(origin, job);
             return;
         }
-        let refusal = self.refusal_of(&spec);
+        let refusal = self.refusal_reason(&spec);
         if let Some((reason, retry_ms)) = refusal {
             let id = format!("{job:016x}");
             let customer = spec.customer.as_deref().unwrap_or("no customer");
-            let detail = format!("{} of {customer}, back in {retry_ms} ms", reason.as_str());
+            let detail = format!("{} of {customer}, retry in {retry_ms} ms", reason.as_str());
             self.log("callers", "refuse", id, detail);
             self.answer(origin, CallerAnswer::Refused { reason, retry_ms });
             return;
@@ -47,13 +47,14 @@
         self.accept(origin, spec, terms);
     }
 
-    /// Why a new job is refused now, and when its caller may come back, in milliseconds.
-    fn refusal_of(&mut self, spec: &JobSpec) -> Option<(RefusalReason, u64)> {
+    /// Returns why a new job is refused now, and the time after which its caller may retry, in
+    /// milliseconds. Returns `None` if the job is accepted.
+    fn refusal_reason(&mut self, spec: &JobSpec) -> Option<(RefusalReason, u64)> {
         let pending = self.lead.as_ref().map_or(0, |lead| lead.pending.len());
         if self.store_is_away() {
             return Some((RefusalReason::StoreAway, STORE_RETRY_MS));
         }
-        if pending > PENDING_LIMIT {
+        if pending > MAX_PENDING_EVENTS {
             return Some((RefusalReason::Overload, RETRY_MS));
         }
         let share = self.take_share(spec.id, spec.customer.as_ref());
@@ -62,9 +63,9 @@
             .map(|retry_ms| (RefusalReason::ShareSpent, retry_ms))
     }
 
-    fn refuse_for_good(&mut self, origin: Origin, job: JobId) {
+    fn refuse_beyond_limit(&mut self, origin: Origin, job: JobId) {
         self.counters.count("callers", "beyond_limit");
-        let detail = "a gang in it is larger than its customer may run at once".to_owned();
+        let detail = "a gang of the job exceeds its customer's limit".to_owned();
         self.log("callers", "beyond_limit", format!("{job:016x}"), detail);
         self.answer(origin, CallerAnswer::BeyondLimit);
     }
@@ -86,8 +87,8 @@
         self.schedule_times(job);
     }
 
-    /// Tells whether something about a job is not kept yet.
-    fn is_unkept(&self, job: JobId) -> bool {
+    /// Returns whether a job has events that are not committed yet.
+    fn is_uncommitted(&self, job: JobId) -> bool {
         let lead = self.lead.as_deref();
         lead.is_some_and(|lead| lead.uncommitted.contains_key(&job))
     }
