--- a/crates/bankvalve_queue/src/core/callers.rs
+++ b/crates/bankvalve_queue/src/core/callers.rs
@@ -3,8 +3,8 @@
 use std::time::Duration;
 
 use super::commit::{Effect, Origin};
-use super::lead::{LeadState, UnknownAsk};
-use super::sight::job_text;
+use super::lead_state::{LeadState, UnknownJobRequest};
+use super::readiness::job_text;
 use super::EntryCore;
 use crate::caller::{CallerAnswer, CallerRequest, JobState, RefusalReason, ResolvedRequest};
 use crate::core::CoreAction;
@@ -37,7 +37,7 @@
 
 /// An open request of a caller.
 #[derive(Debug)]
-pub(super) struct OpenAsk {
+pub(super) struct OpenRequest {
     pub(super) request: CallerRequest,
     caller: CallerIdentity,
     /// Version of the configuration under which the request was interpreted.
@@ -53,8 +53,8 @@
 }
 
 impl EntryCore {
-    pub(super) fn take_request(&mut self, ticket: Ticket, request: ResolvedRequest) {
-        if self.asks.len() >= MAX_OPEN_REQUESTS {
+    pub(super) fn handle_request(&mut self, ticket: Ticket, request: ResolvedRequest) {
+        if self.open_requests.len() >= MAX_OPEN_REQUESTS {
             self.refuse(ticket, RefusalReason::Overload);
             return;
         }
@@ -67,7 +67,7 @@
             _ => None,
         };
         let caller = request.caller;
-        if let Some(answer) = status_job.and_then(|job| self.kept_end(job, &caller)) {
+        if let Some(answer) = status_job.and_then(|job| self.committed_outcome(job, &caller)) {
             self.actions.push(CoreAction::Answer { ticket, answer });
             return;
         }
@@ -83,7 +83,7 @@
         }
         let timeout = Duration::from_millis(request.patience_ms * TIMEOUT_PERCENT / 100);
         let (since, until) = (self.now, self.now + timeout);
-        let open_request = OpenAsk {
+        let open_request = OpenRequest {
             request: request.request,
             caller: caller.clone(),
             table_version: request.table_version,
@@ -93,10 +93,10 @@
             sent: None,
             copies: 0,
         };
-        self.asks.insert(ticket, open_request);
+        self.open_requests.insert(ticket, open_request);
         let confirming_leader =
-            status_job.and_then(|job| self.read_own_book(Origin::Local(ticket), job, &caller));
-        match (confirming_leader, self.asks.get_mut(&ticket)) {
+            status_job.and_then(|job| self.read_local_book(Origin::Local(ticket), job, &caller));
+        match (confirming_leader, self.open_requests.get_mut(&ticket)) {
             (Some(leader), Some(open_request)) => {
                 open_request.read_locally = true;
                 open_request.sent = Some((leader, since));
@@ -133,9 +133,13 @@
     /// end of a job is final.
     ///
     /// A job that is open in this book may have ended since. Its state is returned only with a read index
-    /// of the leader (see `book_reads`), so that a caller whose cancel has been answered does not get
+    /// of the leader (see `follower_reads`), so that a caller whose cancel has been answered does not get
     /// "running" from another instance.
-    pub(super) fn kept_end(&self, job: JobId, caller: &CallerIdentity) -> Option<CallerAnswer> {
+    pub(super) fn committed_outcome(
+        &self,
+        job: JobId,
+        caller: &CallerIdentity,
+    ) -> Option<CallerAnswer> {
         if self.lead.is_some() {
             return None;
         }
@@ -151,7 +155,7 @@
         };
         let leader = view.address;
         let own = leader == self.settings.address;
-        if !own && (view.loading || self.age(view.heard_at) > self.leader_contact_limit()) {
+        if !own && (view.loading || self.age(view.last_contact) > self.leader_contact_limit()) {
             // While nothing is sent, it is certain that no leader has accepted the request. A leader that
             // is loading the ledger announces when it has finished. Repeated requests would fill the link
             // over which it loads.
@@ -160,7 +164,7 @@
         if own && !self.lead.as_ref().is_some_and(|lead| lead.loaded) {
             return;
         }
-        let Some(open_request) = self.asks.get_mut(&ticket) else {
+        let Some(open_request) = self.open_requests.get_mut(&ticket) else {
             return;
         };
         open_request.sent = Some((leader, now));
@@ -179,9 +183,9 @@
             };
             // A request that is sent again bypasses the hub.
             if first {
-                self.tell_through_hub(leader, message);
+                self.send_via_hub(leader, message);
             } else {
-                self.tell(leader, message);
+                self.send_message(leader, message);
             }
         }
     }
@@ -190,7 +194,7 @@
     /// site, members that are not preferred ones learn of the leader through hubs, a few tenths of a
     /// second later.
     fn leader_contact_limit(&self) -> Duration {
-        let behind_hubs = self.is_far_of_many();
+        let behind_hubs = self.is_behind_hubs();
         UNRESPONSIVE_LEADER
             + if behind_hubs {
                 HUB_DELAY
@@ -200,10 +204,10 @@
     }
 
     /// Sends all open requests to the current leader.
-    pub(super) fn resend_asks(&mut self) {
-        let tickets: Vec<Ticket> = self.asks.keys().copied().collect();
+    pub(super) fn resend_requests(&mut self) {
+        let tickets: Vec<Ticket> = self.open_requests.keys().copied().collect();
         for ticket in tickets {
-            if let Some(open_request) = self.asks.get_mut(&ticket) {
+            if let Some(open_request) = self.open_requests.get_mut(&ticket) {
                 open_request.read_locally = false;
                 open_request.sent = None;
             }
@@ -212,8 +216,8 @@
     }
 
     /// Sends a request to the leader that the local book could not answer.
-    pub(super) fn end_reading(&mut self, ticket: Ticket) {
-        if let Some(open_request) = self.asks.get_mut(&ticket) {
+    pub(super) fn request_leader_instead(&mut self, ticket: Ticket) {
+        if let Some(open_request) = self.open_requests.get_mut(&ticket) {
             open_request.read_locally = false;
             open_request.sent = None;
         }
@@ -221,15 +225,15 @@
     }
 
     /// Sends unanswered requests again, and ends those whose callers do not wait any longer.
-    pub(super) fn run_asks(&mut self) {
+    pub(super) fn run_open_requests(&mut self) {
         let now = self.now;
         let own = self.settings.address;
-        let resend = self.keeps(SiteGuard::ResentAsk);
-        let pause = RESEND_AFTER + self.way_to_leader();
+        let resend = self.enforces(SiteGuard::ResentAsk);
+        let pause = RESEND_AFTER + self.round_trip_to_leader();
         let unanswered = |(to, at)| to != own && now.saturating_sub(at) > pause;
         let mut to_resend = Vec::new();
         let mut timed_out = Vec::new();
-        for (ticket, open_request) in &self.asks {
+        for (ticket, open_request) in &self.open_requests {
             let waited = now.saturating_sub(open_request.since);
             if now >= open_request.until
                 || (waited > MAX_LEADER_WAIT && open_request.sent.is_none())
@@ -252,7 +256,7 @@
     }
 
     fn time_out_request(&mut self, ticket: Ticket) {
-        let Some(open_request) = self.asks.remove(&ticket) else {
+        let Some(open_request) = self.open_requests.remove(&ticket) else {
             return;
         };
         self.log_given_up(&open_request);
@@ -265,8 +269,8 @@
         }
     }
 
-    pub(super) fn end_ask(&mut self, ticket: Ticket, answer: CallerAnswer) {
-        let Some(open_request) = self.asks.remove(&ticket) else {
+    pub(super) fn finish_request(&mut self, ticket: Ticket, answer: CallerAnswer) {
+        let Some(open_request) = self.open_requests.remove(&ticket) else {
             return;
         };
         let cancels = matches!(open_request.request, CallerRequest::Cancel { .. });
@@ -283,7 +287,7 @@
         self.actions.push(CoreAction::Answer { ticket, answer });
     }
 
-    pub(super) fn take_ask(
+    pub(super) fn handle_forwarded_request(
         &mut self,
         from: PeerAddress,
         ticket: Ticket,
@@ -296,11 +300,11 @@
             self.serve_interpreted(Origin::Peer(from, ticket), table_version, caller, request);
         } else {
             let answer = None;
-            self.tell_through_hub(from, PeerMessage::Reply { ticket, answer });
+            self.send_via_hub(from, PeerMessage::Reply { ticket, answer });
         }
     }
 
-    pub(super) fn take_reply(
+    pub(super) fn handle_reply(
         &mut self,
         from: PeerAddress,
         ticket: Ticket,
@@ -309,13 +313,13 @@
         match answer {
             Some(CallerAnswer::Refused { .. }) if self.is_served_here(ticket) => {
                 // The former leader refuses its copy. This instance, which now leads, answers its own.
-                if let Some(open_request) = self.asks.get_mut(&ticket) {
+                if let Some(open_request) = self.open_requests.get_mut(&ticket) {
                     open_request.copies = open_request.copies.saturating_sub(1);
                 }
             }
-            Some(answer) => self.end_ask(ticket, answer),
+            Some(answer) => self.finish_request(ticket, answer),
             None => {
-                let Some(open_request) = self.asks.get_mut(&ticket) else {
+                let Some(open_request) = self.open_requests.get_mut(&ticket) else {
                     return;
                 };
                 open_request.copies = open_request.copies.saturating_sub(1);
@@ -334,13 +338,13 @@
     /// Returns whether this instance serves a request itself, as the leader.
     fn is_served_here(&self, ticket: Ticket) -> bool {
         let own = self.settings.address;
-        let open_request = self.asks.get(&ticket);
+        let open_request = self.open_requests.get(&ticket);
         open_request.is_some_and(|open_request| open_request.sent.is_some_and(|(to, _)| to == own))
     }
 
     /// Answers a request that waited until it was confirmed that this instance led when the request
     /// arrived. A job that was unknown then may have been submitted since.
-    pub(super) fn serve_confirmed(&mut self, waiting: UnknownAsk) {
+    pub(super) fn serve_confirmed(&mut self, waiting: UnknownJobRequest) {
         let known = match &waiting.request {
             CallerRequest::Status { job } | CallerRequest::Cancel { job } => {
                 self.book.job(*job).is_some()
@@ -443,7 +447,10 @@
         let open = matches!(state, JobState::Pending | JobState::Running);
         // While this instance was frozen or cut off, another leader may have cancelled the job or
         // recorded its end.
-        let unconfirmed = self.lead.as_deref().is_some_and(LeadState::doubts_its_lead);
+        let unconfirmed = self
+            .lead
+            .as_deref()
+            .is_some_and(LeadState::must_confirm_lead);
         if open && (unconfirmed || self.is_cut_off()) {
             self.await_confirmation(origin, caller, CallerRequest::Status { job });
             return;
@@ -496,7 +503,7 @@
         let at = self.now;
         let caller = caller.clone();
         if let Some(lead) = self.lead.as_deref_mut() {
-            lead.confirm_waiting.push(UnknownAsk {
+            lead.confirm_waiting.push(UnknownJobRequest {
                 at,
                 origin,
                 caller,
--- a/crates/bankvalve_queue/src/core/commit.rs
+++ b/crates/bankvalve_queue/src/core/commit.rs
@@ -4,7 +4,7 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-use super::following::batch_key;
+use super::follower::batch_key;
 use super::incarnation::Incarnation;
 use super::store_link::{StorePurpose, CELL_TABLE, LEAD_PART, LEDGER_TABLE};
 use super::EntryCore;
@@ -58,11 +58,11 @@
     Answer(Origin, CallerAnswer),
     Order(TaskKey, u64),
     /// Lets the next poll of a worker acknowledge its ended runs up to a number.
-    ForgetEnd(Incarnation, u64),
+    AcknowledgeEnd(Incarnation, u64),
     /// Logs that a job has ended.
-    Over(JobId),
+    JobEnded(JobId),
     /// Resumes the renewal of a worker's lease.
-    ProlongHold(WorkerId),
+    RenewLease(WorkerId),
 }
 
 /// An event to commit, or only an effect that waits until the events before it are committed.
@@ -74,7 +74,7 @@
 
 /// A write of batches that is in flight.
 #[derive(Debug)]
-pub(super) struct CommitFlight {
+pub(super) struct InFlightCommit {
     /// Sequence number of the first batch.
     pub(super) sequence: u64,
     /// The encoded batches.
@@ -108,7 +108,7 @@
         };
         if let Some(job) = job {
             *lead.uncommitted.entry(job).or_default() += 1;
-            lead.touched.insert(job);
+            lead.dirty_jobs.insert(job);
         }
         lead.pending.push_back(Proposal {
             event: Some(event),
@@ -116,7 +116,7 @@
         });
         if let Some(job) = ended {
             lead.ending.insert(job);
-            self.follow_up(Effect::Over(job));
+            self.follow_up(Effect::JobEnded(job));
         }
     }
 
@@ -166,24 +166,24 @@
     }
 
     /// Starts the time for which the table has not answered, unless it is running already.
-    pub(super) fn note_store_question(&mut self) {
+    pub(super) fn note_store_request(&mut self) {
         let now = self.now;
         if let Some(lead) = self.lead.as_deref_mut() {
-            lead.asked_since.get_or_insert(now);
+            lead.unanswered_since.get_or_insert(now);
         }
     }
 
     /// Returns whether the table counts as unavailable: it refuses writes or leaves one unanswered.
-    pub(super) fn store_is_away(&self) -> bool {
+    pub(super) fn store_is_unavailable(&self) -> bool {
         let Some(lead) = self.lead.as_deref() else {
             return false;
         };
         let flight = lead.flight.as_ref();
-        lead.away_since.is_some()
+        lead.unavailable_since.is_some()
             || flight.is_some_and(|flight| {
                 let age = self.age(flight.since);
                 let unresponsive = self
-                    .store_heard
+                    .store_last_contact
                     .is_none_or(|at| self.age(at) > RECENT_ANSWER);
                 flight.refused >= UNAVAILABLE_REFUSALS
                     || (unresponsive && age > UNANSWERED_LIMIT)
@@ -201,7 +201,7 @@
             return;
         }
         if lead.flight.is_some() {
-            self.pursue_flight();
+            self.pursue_commit();
             return;
         }
         if lead.pending.is_empty() || now < lead.next_commit_at {
@@ -223,7 +223,7 @@
             return;
         }
         lead.next_commit_at = now + COMMIT_INTERVAL;
-        lead.flight = Some(CommitFlight {
+        lead.flight = Some(InFlightCommit {
             sequence: lead.sequence + 1,
             rows,
             events,
@@ -237,10 +237,10 @@
             uncertain: false,
             refused: 0,
         });
-        self.send_flight();
+        self.send_commit();
     }
 
-    pub(super) fn send_flight(&mut self) {
+    pub(super) fn send_commit(&mut self) {
         let Some(lead) = self.lead.as_deref() else {
             return;
         };
@@ -248,7 +248,7 @@
             return;
         };
         let leader = RowKey::new(CELL_TABLE, LEAD_PART, "leader");
-        let fenced = self.keeps(SiteGuard::OwnRow);
+        let fenced = self.enforces(SiteGuard::OwnRow);
         let numbered = flight.sequence..;
         let writes = numbered.zip(&flight.rows).map(|(sequence, row)| RowWrite {
             key: batch_row(sequence),
@@ -275,8 +275,8 @@
             sequence: flight.sequence,
             sent_at: self.now,
         };
-        self.note_store_question();
-        self.ask_store_within(purpose, request, COMMIT_TIMEOUT);
+        self.note_store_request();
+        self.send_store_request_within(purpose, request, COMMIT_TIMEOUT);
     }
 
     pub(super) fn end_commit(&mut self, sequence: u64, sent_at: CoreTime, outcome: StoreOutcome) {
@@ -284,7 +284,7 @@
         let Some(lead) = self.lead.as_deref_mut() else {
             return;
         };
-        let is_current = |flight: &CommitFlight| flight.sequence == sequence;
+        let is_current = |flight: &InFlightCommit| flight.sequence == sequence;
         if !lead.flight.as_ref().is_some_and(is_current) {
             return;
         }
@@ -305,7 +305,7 @@
                     let begun_at = flight.since;
                     self.finish_commit(begun_at);
                 } else {
-                    self.depose("a write was refused because this leader's row has changed");
+                    self.step_down("a write was refused because this leader's row has changed");
                     self.read_leader_row();
                 }
             }
@@ -313,13 +313,13 @@
                 flight.copies = flight.copies.saturating_sub(1);
                 flight.next_at = now;
                 flight.uncertain = true;
-                self.withdraw_unkept();
+                self.withdraw_uncommitted();
             }
             _ => {
                 flight.copies = flight.copies.saturating_sub(1);
                 flight.next_at = now + REFUSED_PAUSE;
                 flight.refused += 1;
-                self.withdraw_unkept();
+                self.withdraw_uncommitted();
             }
         }
     }
@@ -340,7 +340,7 @@
         lead.sequence = flight.sequence + flight.rows.len() as u64 - 1;
         lead.confirmed_at = lead.confirmed_at.max(confirmed_at);
         lead.note_store_answer();
-        lead.away_since = None;
+        lead.unavailable_since = None;
         self.applied = lead.sequence;
         for job in flight.events.iter().filter_map(LedgerEvent::job) {
             if let Some(count) = lead.uncommitted.get_mut(&job) {
@@ -351,7 +351,7 @@
             }
         }
         let epoch = lead.epoch;
-        let limited = lead.load.was_limited_lately(now);
+        let limited = lead.load.was_limited_recently(now);
         self.counters.count("commits", "kept");
         let standbys = self.live_standbys();
         for (sequence, row) in (flight.sequence..).zip(flight.rows) {
@@ -381,10 +381,10 @@
             onward: onward.to_vec(),
         };
         match standbys.split_first() {
-            Some((first, others)) if chained => self.tell(*first, committed(row, others)),
+            Some((first, others)) if chained => self.send_message(*first, committed(row, others)),
             _ => {
                 for peer in standbys {
-                    self.tell(*peer, committed(row.clone(), &[]));
+                    self.send_message(*peer, committed(row.clone(), &[]));
                 }
             }
         }
@@ -396,18 +396,18 @@
                 Effect::None => {}
                 Effect::Answer(origin, answer) => self.answer(origin, answer),
                 Effect::Order(task, run) => self.begin_order(task, run),
-                Effect::Over(job) => self.log_job_end(job),
-                Effect::ProlongHold(worker) => self.prolong_again(&worker),
-                Effect::ForgetEnd(incarnation, number) => {
+                Effect::JobEnded(job) => self.log_job_end(job),
+                Effect::RenewLease(worker) => self.resume_lease_renewal(&worker),
+                Effect::AcknowledgeEnd(incarnation, number) => {
                     if let Some(lead) = self.lead.as_deref_mut() {
-                        if let Some(seat) = lead.seats.of_mut(&incarnation) {
-                            seat.kept = seat.kept.max(number);
-                            if seat.kept == seat.seen {
-                                seat.next_hold = self.now;
+                        if let Some(state) = lead.worker_states.get_incarnation_mut(&incarnation) {
+                            state.last_end_committed = state.last_end_committed.max(number);
+                            if state.last_end_committed == state.last_end_seen {
+                                state.next_poll = self.now;
                             }
                         }
                     }
-                    self.look_if_due(&incarnation.worker);
+                    self.poll_if_due(&incarnation.worker);
                 }
             }
         }
@@ -415,10 +415,10 @@
 
     pub(super) fn answer(&mut self, origin: Origin, answer: CallerAnswer) {
         match origin {
-            Origin::Local(ticket) => self.end_ask(ticket, answer),
+            Origin::Local(ticket) => self.finish_request(ticket, answer),
             Origin::Peer(peer, ticket) => {
                 let answer = Some(answer);
-                self.tell_through_hub(peer, PeerMessage::Reply { ticket, answer });
+                self.send_via_hub(peer, PeerMessage::Reply { ticket, answer });
             }
         }
     }
@@ -438,7 +438,7 @@
         if let Some(lead) = self.lead.as_deref_mut() {
             lead.load_at = None;
         }
-        self.note_store_question();
+        self.note_store_request();
         self.read_ledger();
     }
 
@@ -450,7 +450,7 @@
             lead.loaded = true;
         }
         self.catching_up = false;
-        self.adopt_book();
+        self.adopt_runs();
     }
 }
 
@@ -489,7 +489,7 @@
 }
 
 /// Returns whether the rows of a conflict show that an earlier copy of the write was applied.
-fn own_batch_is_stored(rows: &[StoredRow], flight: &CommitFlight, row_version: u64) -> bool {
+fn own_batch_is_stored(rows: &[StoredRow], flight: &InFlightCommit, row_version: u64) -> bool {
     let key = batch_row(flight.sequence);
     let leader_row_unchanged = rows
         .iter()
--- a/crates/bankvalve_queue/src/core/customer_limits.rs
+++ b/crates/bankvalve_queue/src/core/customer_limits.rs
@@ -8,9 +8,9 @@
 
 use std::collections::BTreeMap;
 
-use super::lead::LeadState;
-use super::placing::PlacedStep;
-use super::waiting::WaitingStep;
+use super::lead_state::LeadState;
+use super::placement::StepToPlace;
+use super::waiting_steps::WaitingStep;
 use super::EntryCore;
 use crate::customer::{CustomerName, RunLimit};
 use crate::guard::SiteGuard;
@@ -87,7 +87,10 @@
     /// Sums up what each customer has running, or may have running.
     pub(super) fn sum_usage(&self) -> CustomerUsage {
         let mut usage = CustomerUsage::default();
-        let runs = self.seats.values().flat_map(|seat| seat.runs.values());
+        let runs = self
+            .worker_states
+            .values()
+            .flat_map(|state| state.runs.values());
         for live in runs {
             if let Some(customer) = &live.customer {
                 usage.add(customer, &live.size);
@@ -121,7 +124,7 @@
     /// its customer would use it up again and again. From the next placement on, only urgent steps come
     /// before such a gang, so that a late gang is not overtaken by steps that are still in time.
     pub(super) fn leave_out_at_limit<Rank>(&mut self, ranked: &mut Vec<(Rank, StepKey)>) {
-        if !self.limits.has_limits() || !self.keeps(SiteGuard::CustomerLimit) {
+        if !self.limits.has_limits() || !self.enforces(SiteGuard::CustomerLimit) {
             return;
         }
         let (limits, now) = (&self.limits, self.now);
@@ -129,10 +132,10 @@
             return;
         };
         let (waiting, usage) = (&lead.waiting, &mut lead.usage);
-        let previous = &lead.held_back;
+        let previous = &lead.waiting_for_limit;
         let is_waiting_gang = |key: &StepKey| {
             let step = waiting.get(key).filter(|step| step.gang);
-            let at_limit = previous.get(key) == Some(&LimitStand::AtLimit);
+            let at_limit = previous.get(key) == Some(&LimitStatus::AtLimit);
             at_limit && step.is_some_and(|step| !step.is_beyond_share(now))
         };
         if previous.keys().any(is_waiting_gang) {
@@ -146,7 +149,7 @@
                 (false, false) => 2,
             });
         }
-        let mut held_back = BTreeMap::new();
+        let mut waiting_for_limit = BTreeMap::new();
         ranked.retain(|(_, key)| {
             let Some(step) = waiting.get(key) else {
                 return true;
@@ -155,23 +158,23 @@
                 return true;
             };
             let status = limit_status(step, &known.limit, usage);
-            if status != LimitStand::Within {
-                held_back.insert(*key, status);
+            if status != LimitStatus::Within {
+                waiting_for_limit.insert(*key, status);
             }
-            status == LimitStand::Within
+            status == LimitStatus::Within
         });
-        let previous = std::mem::replace(&mut lead.held_back, held_back);
+        let previous = std::mem::replace(&mut lead.waiting_for_limit, waiting_for_limit);
         self.log_limit_waits(&previous);
     }
 
     /// Logs the steps that have begun to wait for their customer's limit, or whose status has changed.
-    fn log_limit_waits(&mut self, previous: &BTreeMap<StepKey, LimitStand>) {
+    fn log_limit_waits(&mut self, previous: &BTreeMap<StepKey, LimitStatus>) {
         let Some(lead) = self.lead.as_deref() else {
             return;
         };
-        let changed = lead.held_back.iter();
+        let changed = lead.waiting_for_limit.iter();
         let changed = changed.filter(|(key, status)| previous.get(key) != Some(status));
-        let changed: Vec<(StepKey, LimitStand)> =
+        let changed: Vec<(StepKey, LimitStatus)> =
             changed.map(|(key, status)| (*key, *status)).collect();
         for (key, status) in changed {
             self.counters.count("placements", status.as_str());
@@ -205,7 +208,7 @@
     /// Every start goes through this function.
     pub(super) fn within_limit<Choice>(
         &mut self,
-        step: &PlacedStep,
+        step: &StepToPlace,
         mut choice: Vec<Choice>,
     ) -> Vec<Choice> {
         let Some(customer) = &step.customer else {
@@ -226,7 +229,7 @@
     /// Returns how many tasks of a size a customer may start in addition to what it has running.
     pub(super) fn tasks_within_limit(&self, customer: &CustomerName, size: &TaskSize) -> usize {
         let known = self.limits.of(Some(customer));
-        let Some(known) = known.filter(|_| self.keeps(SiteGuard::CustomerLimit)) else {
+        let Some(known) = known.filter(|_| self.enforces(SiteGuard::CustomerLimit)) else {
             return usize::MAX;
         };
         let lead = self.lead.as_deref();
@@ -239,13 +242,16 @@
     /// may have been lowered while the start was being committed, which takes seconds if the table is
     /// slow.
     pub(super) fn is_within_limit_now(&self, id: &WorkerId, task: TaskKey) -> bool {
-        if !self.keeps(SiteGuard::LimitOfNow) {
+        if !self.enforces(SiteGuard::LimitOfNow) {
             return true;
         }
         let Some(lead) = self.lead.as_deref() else {
             return true;
         };
-        let live = lead.seats.get(id).and_then(|seat| seat.runs.get(&task));
+        let live = lead
+            .worker_states
+            .get(id)
+            .and_then(|state| state.runs.get(&task));
         let Some(live) = live.filter(|live| live.copies == 0) else {
             return true;
         };
@@ -272,7 +278,7 @@
 
 /// Whether a step may start tasks within its customer's limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum LimitStand {
+pub(super) enum LimitStatus {
     /// At least one task may start, or the entire gang.
     Within,
     /// The step waits until its customer has less running.
@@ -281,29 +287,29 @@
     BeyondLimit,
 }
 
-impl LimitStand {
+impl LimitStatus {
     /// Returns the name in logs and counters.
     fn as_str(self) -> &'static str {
         match self {
-            LimitStand::Within => "within_limit",
-            LimitStand::AtLimit => "at_limit",
-            LimitStand::BeyondLimit => "beyond_limit",
+            LimitStatus::Within => "within_limit",
+            LimitStatus::AtLimit => "at_limit",
+            LimitStatus::BeyondLimit => "beyond_limit",
         }
     }
 }
 
-fn limit_status(step: &WaitingStep, limit: &RunLimit, usage: &mut CustomerUsage) -> LimitStand {
+fn limit_status(step: &WaitingStep, limit: &RunLimit, usage: &mut CustomerUsage) -> LimitStatus {
     let Some(customer) = &step.customer else {
-        return LimitStand::Within;
+        return LimitStatus::Within;
     };
     let wanted = if step.gang { u64::from(step.tasks) } else { 1 };
     let size = step.size.times(wanted);
     if limit.tasks_beside(&usage.of(customer), &step.size) >= wanted {
-        LimitStand::Within
+        LimitStatus::Within
     } else if !limit.admits(&size) {
-        LimitStand::BeyondLimit
+        LimitStatus::BeyondLimit
     } else {
         usage.add(customer, &size);
-        LimitStand::AtLimit
+        LimitStatus::AtLimit
     }
 }
--- a/crates/bankvalve_queue/src/core/denials.rs
+++ b/crates/bankvalve_queue/src/core/denials.rs
@@ -37,7 +37,7 @@
 impl EntryCore {
     /// Handles a request that the configuration in force denies. The caller is denied only once the table
     /// has reported, to a query sent after the request arrived, which configuration is the newest.
-    pub(super) fn take_denial(
+    pub(super) fn handle_denial(
         &mut self,
         ticket: Ticket,
         host_and_path: String,
@@ -52,7 +52,7 @@
             at: self.now,
             until: self.now + timeout.min(MAX_LOOKUP_WAIT),
         };
-        if !self.keeps(SiteGuard::KnownNewest) {
+        if !self.enforces(SiteGuard::KnownNewest) {
             self.deny(lookup);
             return;
         }
@@ -140,7 +140,9 @@
         let dropped = |key| table.customer_of(key) != caller.customer.as_ref();
         let key_dropped = caller.key.as_ref().is_some_and(dropped);
         match request {
-            _ if key_dropped && self.keeps(SiteGuard::LeaderKeys) => Err(RefusalReason::KeyDropped),
+            _ if key_dropped && self.enforces(SiteGuard::LeaderKeys) => {
+                Err(RefusalReason::KeyDropped)
+            }
             // A copy of a job that is known already must not be refused, since the job may run.
             CallerRequest::Submit { spec, .. } if self.book.job(spec.id).is_none() => {
                 let rule = table
--- a/crates/bankvalve_queue/src/core/book_reads.rs
+++ b/crates/bankvalve_queue/src/core/follower_reads.rs
@@ -47,7 +47,7 @@
 
 /// Reads that are answered from the local book.
 #[derive(Debug, Default)]
-pub(super) struct BookReads {
+pub(super) struct FollowerReads {
     collected: Vec<FollowerRead>,
     round: Option<ReadRound>,
     rounds: u64,
@@ -56,7 +56,7 @@
 impl EntryCore {
     /// Accepts a read of a job that is in the local book, if this instance is an up-to-date follower.
     /// Returns the leader that confirms the read, or `None` if the leader must answer it.
-    pub(super) fn read_own_book(
+    pub(super) fn read_local_book(
         &mut self,
         origin: Origin,
         job: JobId,
@@ -68,12 +68,12 @@
         if !self.may_access(record, caller) {
             return None;
         }
-        if self.book_reads.collected.len() >= MAX_COLLECTED_READS {
+        if self.follower_reads.collected.len() >= MAX_COLLECTED_READS {
             return None;
         }
         let read = FollowerRead { origin, job };
-        if self.keeps(SiteGuard::ReadMark) {
-            self.book_reads.collected.push(read);
+        if self.enforces(SiteGuard::ReadMark) {
+            self.follower_reads.collected.push(read);
             self.begin_read_round();
         } else {
             self.answer_read(read);
@@ -85,7 +85,7 @@
     /// batches that the leader sends.
     fn followed_leader(&self) -> Option<PeerAddress> {
         let leader = self.leader.as_ref().filter(|_| self.lead.is_none())?;
-        let in_contact = self.leader_is_heard() && !leader.loading;
+        let in_contact = self.has_leader_contact() && !leader.loading;
         let complete = self.applied > 0 && !self.catching_up && self.catch_up_at.is_none();
         (in_contact && complete && leader.address != self.settings.address)
             .then_some(leader.address)
@@ -95,7 +95,7 @@
         let Some(leader) = self.followed_leader() else {
             return;
         };
-        let reads = &mut self.book_reads;
+        let reads = &mut self.follower_reads;
         if reads.round.is_some() || reads.collected.is_empty() {
             return;
         }
@@ -109,21 +109,21 @@
             index: None,
             reads: std::mem::take(&mut reads.collected),
         });
-        self.tell(leader, PeerMessage::MarkWanted { round: number });
+        self.send_message(leader, PeerMessage::MarkWanted { round: number });
     }
 
     /// Sends a follower the read index: the last committed batch.
-    pub(super) fn tell_mark(&mut self, to: PeerAddress, round: u64) {
+    pub(super) fn send_read_index(&mut self, to: PeerAddress, round: u64) {
         let Some(lead) = self.lead.as_deref().filter(|lead| lead.loaded) else {
             return;
         };
         let sequence = lead.sequence;
-        self.tell(to, PeerMessage::Mark { round, sequence });
+        self.send_message(to, PeerMessage::Mark { round, sequence });
     }
 
     /// Handles the read index from the leader.
-    pub(super) fn take_mark(&mut self, from: PeerAddress, number: u64, sequence: u64) {
-        let round = self.book_reads.round.as_mut();
+    pub(super) fn handle_read_index(&mut self, from: PeerAddress, number: u64, sequence: u64) {
+        let round = self.follower_reads.round.as_mut();
         let is_current = |round: &&mut ReadRound| round.number == number && round.leader == from;
         if let Some(round) = round.filter(is_current) {
             round.index = Some(sequence);
@@ -136,7 +136,7 @@
     pub(super) fn end_read_round(&mut self) {
         let reached =
             |round: &mut ReadRound| round.index.is_some_and(|index| self.applied >= index);
-        if let Some(round) = self.book_reads.round.take_if(reached) {
+        if let Some(round) = self.follower_reads.round.take_if(reached) {
             for read in round.reads {
                 self.answer_read(read);
             }
@@ -145,17 +145,17 @@
     }
 
     /// Requests a missing read index again, and abandons a round that has timed out or lost its leader.
-    pub(super) fn run_book_reads(&mut self) {
+    pub(super) fn run_follower_reads(&mut self) {
         let now = self.now;
         let followed = self.followed_leader();
-        let round_trip = self.way_to_leader();
+        let round_trip = self.round_trip_to_leader();
         let ended = |round: &mut ReadRound| {
             let late = now.saturating_sub(round.begun_at) >= ROUND_TIMEOUT + round_trip;
             late || followed != Some(round.leader)
         };
-        let round = self.book_reads.round.take_if(ended);
+        let round = self.follower_reads.round.take_if(ended);
         if round.is_some() || followed.is_none() {
-            let collected = std::mem::take(&mut self.book_reads.collected);
+            let collected = std::mem::take(&mut self.follower_reads.collected);
             let reads = round.into_iter().flat_map(|round| round.reads);
             self.abandon_reads(reads.chain(collected).collect());
         }
@@ -163,10 +163,10 @@
         let unanswered = |round: &&mut ReadRound| {
             round.index.is_none() && now.saturating_sub(round.sent_at) >= pause
         };
-        if let Some(round) = self.book_reads.round.as_mut().filter(unanswered) {
+        if let Some(round) = self.follower_reads.round.as_mut().filter(unanswered) {
             round.sent_at = now;
             let (leader, number) = (round.leader, round.number);
-            self.tell(leader, PeerMessage::MarkWanted { round: number });
+            self.send_message(leader, PeerMessage::MarkWanted { round: number });
         }
         self.end_read_round();
     }
@@ -176,7 +176,7 @@
         for read in reads {
             self.counters.count("retries", "book_read");
             if let Origin::Local(ticket) = read.origin {
-                self.end_reading(ticket);
+                self.request_leader_instead(ticket);
             }
         }
     }
--- a/crates/bankvalve_queue/src/core/confirm.rs
+++ b/crates/bankvalve_queue/src/core/lead_confirmation.rs
@@ -19,7 +19,7 @@
         let Some(lead) = self.lead.as_deref_mut() else {
             return;
         };
-        let interval = match lead.away_since {
+        let interval = match lead.unavailable_since {
             Some(_) => UNAVAILABLE_CONFIRM_INTERVAL,
             None => CONFIRM_INTERVAL,
         };
@@ -36,8 +36,8 @@
             from: String::new(),
             limit: None,
         };
-        self.note_store_question();
-        self.ask_store(StorePurpose::Confirm, request);
+        self.note_store_request();
+        self.send_store_request(StorePurpose::Confirm, request);
     }
 
     pub(super) fn end_confirm(&mut self, outcome: &StoreOutcome) {
@@ -52,13 +52,13 @@
         };
         lead.note_store_answer();
         if !rows.iter().any(|row| row.version == lead.row_version) {
-            self.depose("the leader's row has changed");
-            self.take_leader_rows(rows);
+            self.step_down("the leader's row has changed");
+            self.handle_leader_rows(rows);
             return;
         }
         lead.confirmed_at = lead.confirmed_at.max(asked_at);
         if lead.flight.is_none() {
-            lead.away_since = None;
+            lead.unavailable_since = None;
         }
         if !lead.loaded {
             return;
--- a/crates/bankvalve_queue/src/core/read_back.rs
+++ b/crates/bankvalve_queue/src/core/read_back.rs
@@ -7,9 +7,9 @@
 
 use std::time::Duration;
 
-use super::commit::{batch_row, CommitFlight};
-use super::following::batch_key;
-use super::lead::LeadState;
+use super::commit::{batch_row, InFlightCommit};
+use super::follower::batch_key;
+use super::lead_state::LeadState;
 use super::store_link::{StorePurpose, LEAD_PART, LEDGER_TABLE};
 use super::EntryCore;
 use crate::ids::CoreTime;
@@ -35,14 +35,14 @@
 
 impl EntryCore {
     /// Returns the in-flight write.
-    fn in_flight_commit(&mut self) -> Option<&mut CommitFlight> {
+    fn in_flight_commit(&mut self) -> Option<&mut InFlightCommit> {
         self.lead.as_deref_mut()?.flight.as_mut()
     }
 
     /// Sends the in-flight write again, reads it back, or withdraws its jobs, as is due.
-    pub(super) fn pursue_flight(&mut self) {
+    pub(super) fn pursue_commit(&mut self) {
         let now = self.now;
-        let unavailable = self.store_is_away();
+        let unavailable = self.store_is_unavailable();
         let read_back = self.uses(PolicySwitch::ReadBack);
         let Some(flight) = self.in_flight_commit() else {
             return;
@@ -55,7 +55,7 @@
         }
         if unavailable && !flight.uncertain {
             flight.uncertain = true;
-            self.withdraw_unkept();
+            self.withdraw_uncommitted();
             return;
         }
         if !flight.checking && now >= flight.check_at {
@@ -86,7 +86,7 @@
             sequence,
             sent_at: now,
         };
-        self.ask_store_within(purpose, request, CHECK_TIMEOUT);
+        self.send_store_request_within(purpose, request, CHECK_TIMEOUT);
     }
 
     pub(super) fn end_commit_check(
@@ -99,7 +99,7 @@
         let Some(lead) = self.lead.as_deref_mut() else {
             return;
         };
-        let is_current = |flight: &&mut CommitFlight| flight.sequence == sequence;
+        let is_current = |flight: &&mut InFlightCommit| flight.sequence == sequence;
         let Some(flight) = lead.flight.as_mut().filter(is_current) else {
             return;
         };
@@ -108,7 +108,7 @@
         let StoreOutcome::Rows { rows, .. } = outcome else {
             return;
         };
-        lead.asked_since = None;
+        lead.unanswered_since = None;
         let key = batch_row(sequence);
         match rows.iter().find(|row| row.key == key) {
             Some(row) if row.value == flight.rows[0] => {
@@ -122,7 +122,7 @@
                 self.finish_commit(begun_at);
             }
             Some(_) => {
-                self.depose("another leader has written this batch of the ledger");
+                self.step_down("another leader has written this batch of the ledger");
                 self.read_leader_row();
             }
             None => {
@@ -149,7 +149,7 @@
             flight.copies += 1;
             flight.sent_at = now;
             flight.check_at = now + pause;
-            self.send_flight();
+            self.send_commit();
         }
     }
 }
--- a/crates/bankvalve_queue/src/core/store_link.rs
+++ b/crates/bankvalve_queue/src/core/store_link.rs
@@ -113,7 +113,7 @@
                         after,
                         wait_ms: CELL_WATCH_WAIT.as_millis() as u64,
                     };
-                    self.ask_store(StorePurpose::WatchCell, request);
+                    self.send_store_request(StorePurpose::WatchCell, request);
                 }
             }
         }
@@ -123,14 +123,14 @@
             self.worker_list_sent = self.now;
             let (request, full) = match self.worker_watch.after {
                 None => {
-                    self.worker_reading.begin();
+                    self.entry_scan.begin();
                     let from = String::new();
                     (StoreRequest::ReadWorkers { from }, true)
                 }
                 Some(after) => (StoreRequest::WatchWorkers { after, wait_ms }, false),
             };
-            let scan = self.worker_reading.number();
-            self.ask_store(StorePurpose::Workers { full, scan }, request);
+            let scan = self.entry_scan.number();
+            self.send_store_request(StorePurpose::Workers { full, scan }, request);
         }
     }
 
@@ -138,7 +138,7 @@
         let table = CELL_TABLE.to_owned();
         let part = MEMBER_PART.to_owned();
         let from = String::new();
-        self.ask_store(
+        self.send_store_request(
             StorePurpose::ReadCell,
             StoreRequest::Read {
                 table,
@@ -149,14 +149,14 @@
         );
     }
 
-    pub(super) fn take_store(&mut self, ticket: Ticket, outcome: StoreOutcome) {
-        let Some(pending_request) = self.store_tickets.remove(&ticket) else {
+    pub(super) fn handle_store_answer(&mut self, ticket: Ticket, outcome: StoreOutcome) {
+        let Some(pending_request) = self.open_store_requests.remove(&ticket) else {
             return;
         };
         self.store_arrived(ticket);
         self.update_timeouts(&pending_request, &outcome);
         if !matches!(outcome, StoreOutcome::Lost | StoreOutcome::Busy) {
-            self.store_heard = Some(self.now);
+            self.store_last_contact = Some(self.now);
         }
         match &outcome {
             StoreOutcome::Lost => self.counters.count("retries", "store_lost"),
@@ -196,7 +196,7 @@
             return;
         };
         for row in rows {
-            self.take_cell_row(&row.key, Some(&row.value), row.version);
+            self.handle_cell_row(&row.key, Some(&row.value), row.version);
         }
         self.cell_watch.after = Some(version);
         self.cell_watch.busy = false;
@@ -207,7 +207,7 @@
             // After the loss of all instances, this shows the others that the former leader's process
             // has ended.
             self.next_heartbeat = self.now;
-            if self.is_first_heir() {
+            if self.is_first_successor() {
                 self.read_ledger();
             }
         }
@@ -225,7 +225,7 @@
                     watch.next_at = self.now + SPACED_WATCH_PAUSE;
                 }
                 for change in changes {
-                    self.take_cell_row(&change.key, change.value.as_deref(), change.version);
+                    self.handle_cell_row(&change.key, change.value.as_deref(), change.version);
                 }
             }
             StoreOutcome::HistoryGone => {
@@ -239,7 +239,7 @@
 
     fn end_workers(&mut self, outcome: StoreOutcome, full: bool, scan: u64) {
         // Ignores answers to requests from an earlier leadership, which belong to no current scan.
-        if scan != self.worker_reading.number() {
+        if scan != self.entry_scan.number() {
             return;
         }
         match outcome {
@@ -250,18 +250,18 @@
             } => {
                 let last = entries.last().map(|(id, _)| id.to_string());
                 if full {
-                    self.worker_reading.note_page(&entries, version);
+                    self.entry_scan.note_page(&entries, version);
                 }
-                self.take_worker_entries(entries, full);
+                self.handle_worker_entries(entries, full);
                 if more {
                     // `!` sorts before all characters of ids, so the next page starts after the last id.
                     let from = format!("{}!", last.unwrap_or_default());
                     let request = StoreRequest::ReadWorkers { from };
-                    self.ask_store(StorePurpose::Workers { full, scan }, request);
+                    self.send_store_request(StorePurpose::Workers { full, scan }, request);
                     return;
                 }
                 let version = if full {
-                    self.end_worker_list().unwrap_or(version)
+                    self.finish_entry_scan().unwrap_or(version)
                 } else {
                     version
                 };
--- a/crates/bankvalve_queue/src/core/questions.rs
+++ b/crates/bankvalve_queue/src/core/store_requests.rs
@@ -46,7 +46,7 @@
 
 /// An open request to the table.
 #[derive(Debug)]
-pub(super) struct OpenQuestion {
+pub(super) struct OpenStoreRequest {
     pub(super) purpose: StorePurpose,
     pub(super) asked_at: CoreTime,
     /// Time that the table itself may wait for a change.
@@ -57,14 +57,14 @@
 
 /// Timeouts of requests to the table, by kind, and the table's usual latency.
 #[derive(Debug, Default)]
-pub(super) struct StorePatience {
+pub(super) struct StoreTimeouts {
     /// Number of doublings of the initial timeout.
     doublings: BTreeMap<RequestKind, u32>,
     /// Usual latency of small answers, or `None` before the first one.
     pub(super) latency: Option<Duration>,
 }
 
-impl StorePatience {
+impl StoreTimeouts {
     /// Returns the usual latency of small answers, or zero before the first one.
     pub(super) fn usual(&self) -> Duration {
         self.latency.unwrap_or_default()
@@ -90,7 +90,7 @@
     }
 }
 
-impl OpenQuestion {
+impl OpenStoreRequest {
     fn kind(&self) -> RequestKind {
         (self.purpose.name(), !self.table_wait.is_zero())
     }
@@ -146,7 +146,11 @@
 
 impl EntryCore {
     /// Sends a request to the table, with the timeout of its kind.
-    pub(super) fn ask_store(&mut self, purpose: StorePurpose, request: StoreRequest) -> Ticket {
+    pub(super) fn send_store_request(
+        &mut self,
+        purpose: StorePurpose,
+        request: StoreRequest,
+    ) -> Ticket {
         let (base, table_wait) = match &request {
             StoreRequest::Transact { .. } => (WRITE_TIMEOUT, Duration::ZERO),
             StoreRequest::Watch { wait_ms, .. }
@@ -156,10 +160,10 @@
             }
             _ => (READ_TIMEOUT, Duration::ZERO),
         };
-        let timeouts = &self.store_patience;
+        let timeouts = &self.store_timeouts;
         let kind = (purpose.name(), !table_wait.is_zero());
         let doublings = timeouts.doublings.get(&kind).copied();
-        let doublings = doublings.filter(|_| self.keeps(SiteGuard::GrowingPatience));
+        let doublings = doublings.filter(|_| self.enforces(SiteGuard::GrowingPatience));
         let time = (base * 2_u32.pow(doublings.unwrap_or(0)))
             .max(timeouts.usual() * LATENCY_FACTOR)
             .min(MAX_TIMEOUT);
@@ -167,7 +171,7 @@
     }
 
     /// Sends a request to the table, with a given timeout.
-    pub(super) fn ask_store_within(
+    pub(super) fn send_store_request_within(
         &mut self,
         purpose: StorePurpose,
         request: StoreRequest,
@@ -185,13 +189,13 @@
     ) -> Ticket {
         let time = table_wait + time;
         let ticket = self.take_ticket();
-        let pending_request = OpenQuestion {
+        let pending_request = OpenStoreRequest {
             purpose,
             asked_at: self.now,
             table_wait,
             expires_at: self.now + time + EXPIRY_SLACK,
         };
-        self.store_tickets.insert(ticket, pending_request);
+        self.open_store_requests.insert(ticket, pending_request);
         self.actions.push(CoreAction::Store {
             ticket,
             request,
@@ -203,7 +207,7 @@
     /// Adjusts the timeout and the usual latency after an answer, or after a missing one.
     pub(super) fn update_timeouts(
         &mut self,
-        pending_request: &OpenQuestion,
+        pending_request: &OpenStoreRequest,
         outcome: &StoreOutcome,
     ) {
         let took = self.age(pending_request.asked_at);
@@ -211,38 +215,38 @@
         match outcome {
             StoreOutcome::Lost => {
                 let most = pending_request.most_doublings();
-                self.store_patience.record_miss(kind, most);
+                self.store_timeouts.record_miss(kind, most);
             }
             StoreOutcome::Busy => {}
             _ => {
                 let transfer = took.saturating_sub(pending_request.table_wait);
-                self.store_patience.record_answer(kind, transfer);
+                self.store_timeouts.record_answer(kind, transfer);
                 if pending_request.purpose.is_small() {
-                    self.store_patience.note_latency(took);
+                    self.store_timeouts.note_latency(took);
                 }
             }
         }
     }
 
     /// Allows more time for an answer that has begun to arrive.
-    pub(super) fn extend_question(&mut self, ticket: Ticket) {
-        if let Some(pending_request) = self.store_tickets.get_mut(&ticket) {
+    pub(super) fn extend_store_request(&mut self, ticket: Ticket) {
+        if let Some(pending_request) = self.open_store_requests.get_mut(&ticket) {
             pending_request.expires_at = pending_request.expires_at.max(self.now + MAX_ANSWER_TIME);
         }
     }
 
     /// Ends requests as lost whose result should have been reported long ago.
-    pub(super) fn end_forgotten_questions(&mut self) {
+    pub(super) fn expire_store_requests(&mut self) {
         let now = self.now;
         let expired: Vec<Ticket> = self
-            .store_tickets
+            .open_store_requests
             .iter()
             .filter(|(_, pending_request)| now > pending_request.expires_at)
             .map(|(ticket, _)| *ticket)
             .collect();
         for ticket in expired {
             self.counters.count("retries", "store_forgotten");
-            self.take_store(ticket, StoreOutcome::Lost);
+            self.handle_store_answer(ticket, StoreOutcome::Lost);
         }
     }
 }
