--- a/crates/bankvalve_queue/src/core/callers.rs
+++ b/crates/bankvalve_queue/src/core/callers.rs
@@ -16,7 +16,7 @@
 
 /// Time without an answer from the leader after which a request is sent again, in addition to the round trip.
 const RESEND_AFTER: Duration = Duration::from_millis(700);
-/// Time without contact to the leader after which no requests are sent to it.
+/// Time without contact with the leader after which no requests are sent to it.
 const UNRESPONSIVE_LEADER: Duration = Duration::from_millis(650);
 /// Added to that time on members that are not preferred ones in a large site: they learn of the leader
 /// later.
@@ -154,14 +154,15 @@
             return;
         };
         let leader = view.address;
-        let own = leader == self.settings.address;
-        if !own && (view.loading || self.age(view.last_contact) > self.leader_contact_limit()) {
+        let is_local = leader == self.settings.address;
+        if !is_local && (view.loading || self.age(view.last_contact) > self.leader_contact_limit())
+        {
             // While nothing is sent, it is certain that no leader has accepted the request. A leader that
             // is loading the ledger announces when it has finished. Repeated requests would fill the link
             // over which it loads.
             return;
         }
-        if own && !self.lead.as_ref().is_some_and(|lead| lead.loaded) {
+        if is_local && !self.lead.as_ref().is_some_and(|lead| lead.loaded) {
             return;
         }
         let Some(open_request) = self.open_requests.get_mut(&ticket) else {
@@ -172,7 +173,7 @@
         let table_version = open_request.table_version;
         let first = open_request.copies == 0;
         open_request.copies += 1;
-        if own {
+        if is_local {
             self.serve_interpreted(Origin::Local(ticket), table_version, &caller, request);
         } else {
             let message = PeerMessage::Ask {
@@ -190,17 +191,12 @@
         }
     }
 
-    /// Returns the time without contact to the leader after which no requests are sent to it. In a large
+    /// Returns the time without contact with the leader after which no requests are sent to it. In a large
     /// site, members that are not preferred ones learn of the leader through hubs, a few tenths of a
     /// second later.
     fn leader_contact_limit(&self) -> Duration {
-        let behind_hubs = self.is_behind_hubs();
-        UNRESPONSIVE_LEADER
-            + if behind_hubs {
-                HUB_DELAY
-            } else {
-                Duration::ZERO
-            }
+        let delayed = self.is_behind_hubs();
+        UNRESPONSIVE_LEADER + if delayed { HUB_DELAY } else { Duration::ZERO }
     }
 
     /// Sends all open requests to the current leader.
@@ -227,10 +223,10 @@
     /// Sends unanswered requests again, and ends those whose callers do not wait any longer.
     pub(super) fn run_open_requests(&mut self) {
         let now = self.now;
-        let own = self.settings.address;
+        let own_address = self.settings.address;
         let resend = self.enforces(SiteGuard::ResentAsk);
         let pause = RESEND_AFTER + self.round_trip_to_leader();
-        let unanswered = |(to, at)| to != own && now.saturating_sub(at) > pause;
+        let unanswered = |(to, at)| to != own_address && now.saturating_sub(at) > pause;
         let mut to_resend = Vec::new();
         let mut timed_out = Vec::new();
         for (ticket, open_request) in &self.open_requests {
@@ -337,9 +333,9 @@
 
     /// Returns whether this instance serves a request itself, as the leader.
     fn is_served_here(&self, ticket: Ticket) -> bool {
-        let own = self.settings.address;
+        let own_address = self.settings.address;
         let open_request = self.open_requests.get(&ticket);
-        open_request.is_some_and(|open_request| open_request.sent.is_some_and(|(to, _)| to == own))
+        open_request.is_some_and(|request| request.sent.is_some_and(|(to, _)| to == own_address))
     }
 
     /// Answers a request that waited until it was confirmed that this instance led when the request
--- a/crates/bankvalve_queue/src/core/commit.rs
+++ b/crates/bankvalve_queue/src/core/commit.rs
@@ -143,8 +143,9 @@
         let given_up = record.given_up_task().map(|(task, count)| {
             let ends: Vec<String> = count.ends().iter().map(CrashEnd::to_string).collect();
             let (ends, chance) = (ends.join("; "), count.chance_ppm());
-            let detail =
-                format!("workers ended while they ran the task, odds by chance {chance:.3} in a million: {ends}");
+            let detail = format!(
+                "workers ended while running it, odds by chance {chance:.3} in a million: {ends}"
+            );
             (task.to_string(), detail)
         });
         self.counters.count("jobs", "over");
