--- a/crates/bankvalve_queue/src/core/callers.rs
+++ b/crates/bankvalve_queue/src/core/callers.rs
@@ -53,6 +53,7 @@
 }
 
 impl EntryCore {
+    /// Accepts a caller's request, or answers it at once: with a refusal, or with the end of a job.
     pub(super) fn handle_request(&mut self, ticket: Ticket, request: ResolvedRequest) {
         if self.open_requests.len() >= MAX_OPEN_REQUESTS {
             self.refuse(ticket, RefusalReason::Overload);
@@ -265,6 +266,7 @@
         }
     }
 
+    /// Answers a caller. The answer becomes `Unknown` if another copy of the request may take effect.
     pub(super) fn finish_request(&mut self, ticket: Ticket, answer: CallerAnswer) {
         let Some(open_request) = self.open_requests.remove(&ticket) else {
             return;
@@ -300,6 +302,7 @@
         }
     }
 
+    /// Handles the leader's answer, which is `None` if it has not accepted the request.
     pub(super) fn handle_reply(
         &mut self,
         from: PeerAddress,
--- a/crates/bankvalve_queue/src/core/denials.rs
+++ b/crates/bankvalve_queue/src/core/denials.rs
@@ -64,12 +64,12 @@
         self.run_table();
     }
 
-    /// Denies the callers that came before `asked_at`: the configuration in force was the newest then.
-    pub(super) fn end_lookups(&mut self, asked_at: CoreTime) {
+    /// Denies the callers that came before `queried_at`: the configuration in force was the newest then.
+    pub(super) fn end_lookups(&mut self, queried_at: CoreTime) {
         let lookups = std::mem::take(&mut self.tables.lookups);
         let (ready, later): (Vec<_>, Vec<_>) = lookups
             .into_iter()
-            .partition(|lookup| lookup.at <= asked_at);
+            .partition(|lookup| lookup.at <= queried_at);
         self.tables.lookups = later;
         for lookup in ready {
             self.deny(lookup);
--- a/crates/bankvalve_queue/src/core/lead_confirmation.rs
+++ b/crates/bankvalve_queue/src/core/lead_confirmation.rs
@@ -44,7 +44,7 @@
         let Some(lead) = self.lead.as_deref_mut() else {
             return;
         };
-        let Some(asked_at) = lead.confirming.take() else {
+        let Some(read_sent_at) = lead.confirming.take() else {
             return;
         };
         let StoreOutcome::Rows { rows, .. } = outcome else {
@@ -56,7 +56,7 @@
             self.handle_leader_rows(rows);
             return;
         }
-        lead.confirmed_at = lead.confirmed_at.max(asked_at);
+        lead.confirmed_at = lead.confirmed_at.max(read_sent_at);
         if lead.flight.is_none() {
             lead.unavailable_since = None;
         }
@@ -66,7 +66,7 @@
         let waiting = std::mem::take(&mut lead.confirm_waiting);
         let (ready, later): (Vec<_>, Vec<_>) = waiting
             .into_iter()
-            .partition(|waiting| waiting.at <= asked_at);
+            .partition(|waiting| waiting.at <= read_sent_at);
         lead.confirm_waiting = later;
         for waiting in ready {
             self.serve_confirmed(waiting);
--- a/crates/bankvalve_queue/src/core/ledger_page.rs
+++ b/crates/bankvalve_queue/src/core/ledger_page.rs
@@ -20,7 +20,7 @@
 const SLOW_PAGE: Duration = Duration::from_millis(450);
 /// Divisor of [`FAST_PAGE`] that gives the transfer time below which the next page is four times as large.
 const VERY_FAST_DIVISOR: u32 = 4;
-/// Multiple of the latency of a small answer that the timeout is raised to.
+/// Minimum timeout of a page, as a multiple of the latency of a small answer.
 const LATENCY_FACTOR: u32 = 4;
 
 /// Size and timeout of the next page of the ledger.
--- a/crates/bankvalve_queue/src/core/read_back.rs
+++ b/crates/bankvalve_queue/src/core/read_back.rs
@@ -23,8 +23,8 @@
 const CHECK_DELAY_FACTOR: u32 = 4;
 /// Timeout of the read. A slow table takes about 0.4 s.
 const CHECK_TIMEOUT: Duration = Duration::from_millis(700);
-/// Multiple of the duration of a read above which a write that the read did not find counts as lost,
-/// by its age. A slow table takes twice as long for a write as for a read, and longer if other writes
+/// A write that a read did not find counts as lost once it is older than this multiple of the duration
+/// of the read. A slow table takes twice as long for a write as for a read, and longer if other writes
 /// wait.
 const LOST_AGE_FACTOR: u32 = 6;
 /// Minimum age of a write that counts as lost.
@@ -39,7 +39,7 @@
         self.lead.as_deref_mut()?.flight.as_mut()
     }
 
-    /// Sends the in-flight write again, reads it back, or withdraws its jobs, as is due.
+    /// Sends the in-flight write again, reads it back, or withdraws its jobs, whichever is due.
     pub(super) fn pursue_commit(&mut self) {
         let now = self.now;
         let unavailable = self.store_is_unavailable();
@@ -113,12 +113,7 @@
         match rows.iter().find(|row| row.key == key) {
             Some(row) if row.value == flight.rows[0] => {
                 let begun_at = flight.since;
-                self.log(
-                    "ledger",
-                    "read_back",
-                    sequence.to_string(),
-                    "applied".into(),
-                );
+                self.log("ledger", "read_back", sequence.to_string(), "done".into());
                 self.finish_commit(begun_at);
             }
             Some(_) => {
--- a/crates/bankvalve_queue/src/core/store_requests.rs
+++ b/crates/bankvalve_queue/src/core/store_requests.rs
@@ -26,7 +26,7 @@
 /// Maximum number of doublings for requests whose answer may be large: a configuration of 1.5 MB takes
 /// 1.2 s on a link of 10 Mbit/s, and 6 s on one of 2 Mbit/s.
 const MAX_LARGE_DOUBLINGS: u32 = 3;
-/// Multiple of the usual latency of small answers that every timeout is raised to.
+/// Minimum timeout, as a multiple of the usual latency of small answers.
 const LATENCY_FACTOR: u32 = 2;
 /// Maximum timeout, without the time that the table itself waits for a change.
 const MAX_TIMEOUT: Duration = Duration::from_millis(8_000);
@@ -35,9 +35,9 @@
 const EXPIRY_SLACK: Duration = Duration::from_secs(1);
 /// Time allowed for an answer that has begun to arrive: 2 MB take 8 s on a link of 2 Mbit/s.
 const MAX_ANSWER_TIME: Duration = Duration::from_secs(12);
-/// Divisor of the difference by which the usual latency rises after a slower answer. After a faster
-/// answer it falls at once, since a small answer may only have waited behind a large one on a slow
-/// link.
+/// Smoothing of the usual latency. After a slower answer it rises by the difference divided by this. After
+/// a faster answer it falls to that at once: the slower ones may have waited behind a large answer on a
+/// slow link.
 const LATENCY_RISE_DIVISOR: u32 = 4;
 
 /// Kind of request: the name of its purpose, and whether the table waits for a change. Requests of one
--- a/crates/bankvalve_queue/src/core/submissions.rs
+++ b/crates/bankvalve_queue/src/core/submissions.rs
@@ -20,8 +20,8 @@
         let job = spec.id;
         if let Some(record) = self.book.job(job) {
             if record.spec.customer != spec.customer {
-                let (owner, other) = (record.spec.customer.clone(), spec.customer.clone());
-                self.refuse_foreign_id(origin, job, owner.as_deref(), other.as_deref());
+                let (owner, submitter) = (record.spec.customer.clone(), spec.customer.clone());
+                self.refuse_foreign_id(origin, job, owner.as_deref(), submitter.as_deref());
                 return;
             }
             if self.store_is_unavailable() && self.is_uncommitted(job) {
