--- a/crates/bankvalve_queue/src/core/advice.rs
+++ b/crates/bankvalve_queue/src/core/advice.rs
@@ -1,13 +1,15 @@
-//! Questions to the policy service, spread over the instances.
+//! Advice requests to the policy service, spread over the instances.
 //!
-//! The service answers one question at a time for each calling instance, so
-//! the leader has its peers ask too. Answers do not change and are kept;
-//! permits run out and are renewed before a start that needs one.
+//! The policy service decides which workers may run a step, and issues a permit for each of them. It answers
+//! one request at a time for each calling instance, so the leader has its peers send requests too. An
+//! instance that sends advice requests is an adviser; it is idle while it has none in flight. Which workers
+//! may run a step does not change and is remembered. Permits expire and are renewed before a start that needs
+//! one.
 //!
-//! The pattern that it answers: gangs of some 40 and up to 200 members of which a third of the
-//! workers may run a step, each worker that is asked about taking some milliseconds. One question
-//! after the other, each about a hundred, took a gang of 80 members five to nine seconds of the ten
-//! that it has. So a question about many is cut into parts that several instances ask at once.
+//! A request takes some milliseconds for each worker in it. Gangs have about 40 and up to 200 members, and a
+//! third of the workers may run a step. With one request after the other, each about a hundred workers, a
+//! gang of 80 members needed five to nine seconds of the ten that it has. So a request about many workers is
+//! split into parts that several instances send at once.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -20,54 +22,55 @@
 use crate::queue_table::AdviceRule;
 use crate::worker::{AdviceAnswer, AdviceAsk};
 
-/// Most workers that are asked about for a step at once, in parts; the service takes a hundred in one
-/// question.
+/// Maximum number of workers to request advice about for a step at once, over all parts of the request. The
+/// policy service accepts a hundred in one request.
 pub(super) const ASK_LIMIT: usize = 300;
-/// Workers in a part of a question, where there are enough instances to ask.
+/// Minimum number of workers in a part of a request that is split.
 const PART: usize = 40;
-/// Workers in one question, at most.
+/// Maximum number of workers in one request.
 const PART_MOST: usize = 100;
-/// Share of the instances that ask nothing which one step's question may take, as a divisor: parts
-/// cost the service more in all, so they become fewer as instances become busy. With a quarter,
-/// batches whose questions wait behind earned 0.80 of their worth in place of 1.00 in a backlog.
+/// Number of idle advisers for each part of a request. Splitting costs the service more in total, so requests
+/// have fewer parts as advisers become busy. When a request could use a quarter of the idle advisers, batches
+/// whose requests wait behind earned 0.80 instead of 1.00 of their value in a backlog.
 const ADVISER_SHARE: usize = 12;
-/// A permit is used only this long before it runs out, since the order takes its way and may be
-/// repeated; the time that the start takes to be kept comes on top.
+/// Time before its expiry from which a permit is not used, because the start order needs time to arrive and
+/// may be repeated. The time to commit the start comes in addition.
 const PERMIT_MARGIN: Duration = Duration::from_millis(200);
-/// Questions that take longer go to some of the instances only, so that short ones do not wait.
+/// Duration above which a request is long. Long requests go to some of the instances only, so that short ones
+/// do not wait.
 const LONG_QUESTION: Duration = Duration::from_millis(60);
-/// Time for the way of a question and its answer.
+/// Time for the round trip of a request and its answer.
 const ASK_SLACK: Duration = Duration::from_millis(6);
-/// Wait beyond the reckoned time before a question is given up.
+/// Time after which a request is abandoned if its answer has not come when expected.
 const ASK_TIMEOUT: Duration = Duration::from_millis(900);
-/// Time between two looks for questions that had no answer.
+/// Time between two checks for requests without an answer.
 const ADVICE_SCAN: Duration = Duration::from_millis(20);
-/// Longest queue of questions at an instance, by time, to which another is added. Room is reserved until a
-/// question is answered, so a long queue reserves it for permits that come too late to be used.
+/// Longest backlog of requests of an instance, in time, to which another request is added. Capacity stays
+/// reserved until a request is answered, so a long backlog reserves it for permits that come too late.
 const ASK_AHEAD: Duration = Duration::from_secs(4);
-/// Pause after a question that got no answer.
+/// Time before the next request for a step after the policy service answered that it is busy.
 const ASK_PAUSE: Duration = Duration::from_millis(200);
 
-/// A permit for one worker.
+/// A permit to run the step on one worker.
 #[derive(Clone, Debug)]
 struct Permit {
     text: String,
     until: CoreTime,
 }
 
-/// A question on its way.
+/// An advice request in flight.
 #[derive(Debug)]
 struct AdviceFlight {
     ticket: Ticket,
     adviser: PeerAddress,
     asked: Vec<WorkerId>,
-    /// When its answer is expected.
+    /// When the answer is expected.
     expected: CoreTime,
     long: bool,
     until: CoreTime,
 }
 
-/// What is known of the policy's answers for one step.
+/// What the policy service has answered for one step.
 #[derive(Debug, Default)]
 pub(super) struct StepAdvice {
     good: BTreeMap<WorkerId, Permit>,
@@ -81,12 +84,12 @@
         self.good.contains_key(worker)
     }
 
-    /// Workers that may run the step.
+    /// Returns the workers that may run the step.
     pub(super) fn good(&self) -> impl Iterator<Item = &WorkerId> {
         self.good.keys()
     }
 
-    /// Those whose permits hold until a time.
+    /// Returns the workers whose permits are valid beyond a time.
     pub(super) fn permitted(&self, until: CoreTime) -> impl Iterator<Item = &WorkerId> {
         let permits = self.good.iter();
         permits
@@ -98,7 +101,7 @@
         self.known.contains(worker)
     }
 
-    /// The permit for a worker, if it holds until a time.
+    /// Returns the permit for a worker if it is valid beyond a time.
     pub(super) fn permit(&self, worker: &WorkerId, until: CoreTime) -> Option<&str> {
         let permit = self.good.get(worker)?;
         (permit.until > until).then_some(permit.text.as_str())
@@ -108,18 +111,18 @@
         self.flights.is_empty() && now >= self.retry_at
     }
 
-    /// Whether a question may be asked after the last one, whatever is on its way.
+    /// Returns whether another request may be sent, regardless of those in flight.
     pub(super) fn may_retry(&self, now: CoreTime) -> bool {
         now >= self.retry_at
     }
 
-    /// Whether a question about a worker is on its way.
+    /// Returns whether a request about a worker is in flight.
     pub(super) fn is_asked(&self, worker: &WorkerId) -> bool {
         let mut flights = self.flights.iter();
         flights.any(|flight| flight.asked.contains(worker))
     }
 
-    /// Whether a question is on its way about workers of which nothing is known.
+    /// Returns whether a request is in flight about workers of which nothing is known.
     pub(super) fn explores(&self) -> bool {
         let mut asked = self.flights.iter().flat_map(|flight| &flight.asked);
         asked.any(|worker| !self.known.contains(worker))
@@ -131,8 +134,8 @@
 }
 
 impl EntryCore {
-    /// Asks about workers for a step, in parts; each answer leads to another placement. Returns when
-    /// the last one is expected.
+    /// Requests advice about workers for a step, in parts. Each answer causes another placement pass. Returns
+    /// when the last answer is expected.
     pub(super) fn ask_advice(
         &mut self,
         step: StepKey,
@@ -145,8 +148,8 @@
         expected.max().unwrap_or(self.now)
     }
 
-    /// Workers in each part of a question about so many: few where that is sooner and instances are
-    /// at hand that ask nothing else.
+    /// Returns how many workers go into each part of a request. Parts are small if the request would take
+    /// long and idle instances can share it.
     fn part_of_question(&self, rule: AdviceRule, workers: usize) -> usize {
         if rule.time_for(workers) <= LONG_QUESTION {
             return PART_MOST;
@@ -155,7 +158,7 @@
         workers.div_ceil(parts).clamp(PART, PART_MOST)
     }
 
-    /// Peers that live and ask nothing, as far as is reckoned.
+    /// Returns the number of live peers that are estimated to have no request pending.
     pub(super) fn idle_advisers(&self) -> usize {
         let now = self.now;
         let busy = self.lead.as_deref().map(|lead| &lead.adviser_busy);
@@ -198,7 +201,7 @@
         self.counters.count("calls", "advice");
         if takes > LONG_QUESTION {
             let detail = format!(
-                "{} workers by {adviser}, expected after {:?}",
+                "{} workers through {adviser}, answer expected after {:?}",
                 ask.workers.len(),
                 expected.saturating_sub(now)
             );
@@ -212,7 +215,8 @@
         expected
     }
 
-    /// The instance that would answer first; long questions leave a third of them free.
+    /// Returns the instance that is expected to answer first. Long requests leave a third of the instances
+    /// free.
     fn choose_adviser(&self, takes: Duration) -> PeerAddress {
         let own = self.settings.address;
         let mut advisers: Vec<PeerAddress> = self
@@ -241,7 +245,7 @@
             .unwrap_or(own)
     }
 
-    /// Tells whether an instance is at hand that would soon ask a question.
+    /// Returns whether an instance has a backlog short enough for another request.
     pub(super) fn has_adviser_soon(&self, rule: AdviceRule, workers: usize) -> bool {
         let takes = rule.time_for(workers.min(PART));
         let adviser = self.choose_adviser(takes);
@@ -250,7 +254,7 @@
         until.is_none_or(|until| *until <= self.now + ASK_AHEAD)
     }
 
-    /// Carries a question for the leader.
+    /// Sends an advice request of the leader to the policy service.
     pub(super) fn carry_advice(&mut self, from: PeerAddress, ticket: Ticket, ask: AdviceAsk) {
         let own_ticket = self.take_ticket();
         self.advising.insert(own_ticket, (from, ticket));
@@ -287,7 +291,11 @@
         lead.stale = true;
         let kind = match &answer {
             AdviceAnswer::Good { permits, .. } => {
-                format!("{} good of {}", permits.len(), flight.asked.len())
+                format!(
+                    "{} of {} workers may run it",
+                    permits.len(),
+                    flight.asked.len()
+                )
             }
             other => format!("{other:?}"),
         };
@@ -315,7 +323,7 @@
                 "advice",
                 "answer",
                 step.to_string(),
-                format!("{kind}, {late:?} late"),
+                format!("{kind}, {late:?} after the expected time"),
             );
         }
     }
@@ -333,7 +341,7 @@
         }
     }
 
-    /// Forgets the permits for a worker: they were for the process before.
+    /// Expires the permits for a worker, which were issued for its previous process.
     pub(super) fn drop_permits_of(&mut self, worker: &WorkerId) {
         let Some(lead) = self.lead.as_deref_mut() else {
             return;
@@ -344,7 +352,7 @@
         }
     }
 
-    /// Asks others in place of a peer that does not answer.
+    /// Drops the requests in flight at a peer that does not respond, so that other instances get them.
     pub(super) fn reassign_advice(&mut self, peer: PeerAddress) {
         let Some(lead) = self.lead.as_deref_mut() else {
             return;
@@ -357,7 +365,7 @@
         }
     }
 
-    /// Gives up questions that have had no answer for too long.
+    /// Abandons requests that have had no answer for too long.
     pub(super) fn run_advice(&mut self) {
         let now = self.now;
         let Some(lead) = self.lead.as_deref_mut() else {
@@ -376,8 +384,8 @@
         lead.stale |= !lost.is_empty();
         self.counters
             .count_many("retries", "advice_unanswered", lost.len() as u64);
-        // An instance that is behind what is reckoned, with questions of a leader before, stays behind for as long as
-        // new ones replace those that are given up.
+        // The backlog of the instance may be longer than estimated, by requests of a previous leader. It
+        // would never shrink if each abandoned request were replaced by a new one there.
         let free_at = now + ASK_AHEAD + ASK_TIMEOUT;
         for adviser in lost {
             let busy = lead.adviser_busy.entry(adviser).or_insert(free_at);
--- a/crates/bankvalve_queue/src/core/choosing.rs
+++ b/crates/bankvalve_queue/src/core/choosing.rs
@@ -1,4 +1,4 @@
-//! Which workers tasks of a step go to, and which the policy is asked about.
+//! Selection of workers: those that a step's tasks go to, and those that advice is requested about.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -11,19 +11,21 @@
 use crate::ids::{CoreTime, StepKey, WorkerId};
 use crate::job::TaskSize;
 
-/// Workers whose slowness differs by less count as alike, as a logarithm.
+/// Width of a slowness class, as a logarithm of run time. Workers of one class count as equally fast.
 const SLOWNESS_STEP: f64 = 0.06;
-/// Workers asked about for each task, and at least, in a first question.
+/// Number of workers to request advice about for each task of a step.
 const ASK_PER_TASK: usize = 4;
+/// Minimum number of workers to request advice about for a step.
 const ASK_LEAST: usize = 16;
-/// Workers asked about at most for tasks that start one by one, and at least for a gang, which
-/// needs room for all of its members among those that may run it.
+/// Maximum number of workers to request advice about at once for a step whose tasks start one by one.
 const ASK_MOST: usize = 100;
+/// Minimum number of workers to request advice about for a gang, which needs capacity for all its members
+/// among the workers that may run it.
 const GANG_ASK_LEAST: usize = 100;
 
-/// Tells whether a worker may be given tasks of a step at all.
+/// Returns whether a worker is eligible for tasks of a step, whatever free capacity it has.
 pub(super) fn admits((id, seat): (&WorkerId, &Seat), step: &PlacedStep, now: CoreTime) -> bool {
-    // What is cheap and often fails comes first: all workers are asked this for each step.
+    // Cheap checks that often fail come first, because this runs for all workers for each step.
     let usable = seat.proved
         && !seat.over
         && seat.listed
@@ -47,7 +49,7 @@
     label && seat.entry.service == step.service && !seat.is_disturbed_by(RunLoad::of(&step.spec))
 }
 
-/// All workers that may be given tasks of a step.
+/// Returns all workers that are eligible for tasks of a step.
 pub(super) fn admitting<'a>(
     lead: &'a LeadState,
     step: &PlacedStep,
@@ -57,14 +59,14 @@
     seats.filter(|entry| admits(*entry, step, now)).collect()
 }
 
-/// Tasks of a step that a worker holds.
+/// Returns how many tasks of a step a worker has.
 pub(super) fn held_of(seat: &Seat, step: StepKey) -> usize {
     let first = step.task(0);
     let last = step.task(u32::MAX);
     seat.runs.range(first..=last).count()
 }
 
-/// Chooses workers for as many tasks as fit; for a gang, for all or none.
+/// Selects workers for as many tasks as fit; for a gang, for all tasks or none.
 pub(super) fn choose(step: &PlacedStep, seats: &[(&WorkerId, &Seat)], now: CoreTime) -> Choice {
     if step.spec.gang && step.spec.same_rack {
         let choice = choose_on_one_rack(step, seats, now);
@@ -89,21 +91,21 @@
     whole.unwrap_or_default()
 }
 
-/// The label of a worker that names its rack: the last one.
+/// Returns the rack of a worker, which is its last label.
 fn rack_of(seat: &Seat) -> Option<&str> {
     seat.entry.labels.last().map(String::as_str)
 }
 
-/// A worker that may be chosen, with what choices so far leave of it.
+/// An eligible worker, with its capacity after the assignments made so far.
 struct Candidate<'a> {
     id: &'a WorkerId,
     seat: &'a Seat,
     room: TaskSize,
     held: usize,
     near: bool,
-    /// Whether it rests, and is taken all the same if no other has room.
+    /// Whether the worker is in back-off. Such a worker is used only if no other one has capacity.
     rests: bool,
-    /// How slow it is, in steps.
+    /// Slowness class of the worker; a higher one is slower.
     slow: i64,
 }
 
@@ -125,9 +127,14 @@
         wanted.fits(&self.room) && self.held < limit
     }
 
-    /// Least is best: one that does not rest; for a suspect one that has been there for long, since one that
-    /// comes and goes tells nothing of it; for a gang, which one failure ends, one whose last run did not
-    /// fail; near its data; for urgent work fast; then the one that is left fullest.
+    /// Returns the rank of the worker for a step; the smallest is the best. The criteria, in this order:
+    ///
+    /// 1. Workers that are not in back-off.
+    /// 2. For suspects, workers known for longest: the loss of one that comes and goes is no evidence.
+    /// 3. For gangs, which end with one failure, workers whose last run did not fail.
+    /// 4. Workers near the step's data.
+    /// 5. For urgent steps, fast workers.
+    /// 6. Workers with the least CPU left after the assignment.
     fn rank(&self, step: &PlacedStep) -> (bool, u64, bool, Reverse<bool>, i64, u64) {
         let left = self.room.minus(&step.room).millicores;
         let slow = if step.fast_first { self.slow } else { 0 };
@@ -176,7 +183,7 @@
     workers
 }
 
-/// Workers for a step's first question: those with the most room.
+/// Returns the workers for a step's first advice request: those with the most free capacity.
 pub(super) fn first_question(
     step: &PlacedStep,
     seats: &[(&WorkerId, &Seat)],
@@ -185,7 +192,7 @@
     most_room(step, seats, wanted_workers(step), now)
 }
 
-/// Workers that a question for a step is about.
+/// Returns how many workers an advice request for a step covers.
 fn wanted_workers(step: &PlacedStep) -> usize {
     let wanted = step.tasks.len() * ASK_PER_TASK;
     if step.spec.gang {
@@ -195,7 +202,8 @@
     }
 }
 
-/// So many workers, those with the most room first.
+/// Returns up to `wanted` workers, those with the most free CPU first. For a step that prefers workers whose
+/// last run did not fail, these come before all others.
 pub(super) fn most_room(
     step: &PlacedStep,
     seats: &[(&WorkerId, &Seat)],
@@ -221,7 +229,7 @@
         .collect()
 }
 
-/// Workers with room of which the policy has not been asked yet.
+/// Returns eligible workers with enough free capacity about which the policy service has not answered yet.
 pub(super) fn unknown_with_room(
     lead: &LeadState,
     step: &PlacedStep,
--- a/crates/bankvalve_queue/src/core/making_room.rs
+++ b/crates/bankvalve_queue/src/core/making_room.rs
@@ -1,9 +1,10 @@
-//! Room for steps that find none: from runs that save their progress, or kept as it becomes free.
+//! Capacity for steps that find none: reclaimed from runs that save their progress, or reserved as it becomes
+//! free.
 //!
-//! A step that has waited for room chooses the workers on which it can start first, by what their
-//! runs still have to do and by what may be stopped there: runs of queues that come later, whose
-//! progress is saved at a stop. The room is kept for it, so that smaller steps do not fill it again
-//! and again.
+//! A step that has waited for capacity selects the workers on which it can start first. This depends on the
+//! remaining time of the runs there, and on which of them may be stopped: runs of queues of lower priority
+//! that save their progress when they are stopped. The capacity is reserved for the step, so that smaller
+//! steps do not take it again and again.
 
 use std::cmp::{Ordering, Reverse};
 use std::collections::BinaryHeap;
@@ -18,61 +19,60 @@
 use crate::job::TaskSize;
 use crate::policy::PolicySwitch;
 
-/// Wait for room after which an urgent step makes room: about what one placement takes.
+/// Wait after which capacity is reclaimed for an urgent step: about the time of one placement.
 const URGENT_WAIT: Duration = Duration::from_millis(60);
-/// The same for other steps: about the time of a short task.
+/// Wait after which capacity is reclaimed for any other step: about the time of a short task.
 const WAIT: Duration = Duration::from_millis(800);
-/// Steps that are not urgent and for which room is kept at once, at least: room that is kept stands
-/// empty for a while.
+/// Number of capacity claims up to which a step that is not urgent may always add one. Reserved capacity is
+/// unused for a while.
 const MOST_WAITING: usize = 2;
-/// Share of all room that may be kept for more of them, in percent: two steps of a fleet of a thousand
-/// workers, that some eight gangs of 40 reach each second, leave nearly all gangs to chance; 22 of
-/// them kept a quarter of the room empty, and batches that come later earned 0.72 of their worth in
-/// place of 1.00.
+/// Percentage of all capacity up to which such a step may add a claim if there are more. On a site of a
+/// thousand workers that receives about eight gangs of 40 each second, two claims leave it to chance whether
+/// the other gangs find capacity. 22 claims left a quarter of the capacity unused, and later batches earned
+/// 0.72 instead of 1.00 of their value.
 const KEPT_PERCENT: u64 = 4;
-/// Pause after no room could be planned for a step: a plan goes through all workers.
+/// Time before capacity is planned again for a step for which it could not be: a plan covers all workers.
 const PLAN_PAUSE: Duration = Duration::from_millis(250);
-/// Tasks of a step for which room is made at once; of a gang it is made for all members, as with less
-/// it cannot begin: one of 20 members waited for 35 s among small tasks, until they ended, and waits
-/// for under 6 s now.
+/// Maximum number of tasks of a step for which capacity is reclaimed at once. Gangs are exempt, because they
+/// cannot start with less than all members: under this limit, one of 20 members waited for 35 s until the
+/// small tasks around it had ended; without the limit, it waits for less than 6 s.
 const MOST_TASKS: usize = 12;
-/// Time from the order to stop a run until its room is free, as a rule.
+/// Usual time from the order to stop a run until its resources are free.
 const STOP_TIME: Duration = Duration::from_millis(300);
-/// Time for which room is kept at a time.
+/// Time for which capacity is reserved at once.
 const KEEP_TIME: Duration = Duration::from_millis(1_200);
-/// Time before its end at which it is kept on, on the same workers: other steps would fill at once
-/// what has become free of it.
+/// Remaining time of a reservation from which it is extended on the same workers. Otherwise other steps would
+/// take at once what has become free of it.
 const KEEP_ON: Duration = Duration::from_millis(300);
-/// Longest time until room is free for which it is kept.
+/// Maximum time until capacity becomes free for which it is reserved.
 const LONGEST_WAIT: Duration = Duration::from_millis(5_000);
-/// Time that a step which is not urgent rather waits than that a run is stopped for it.
+/// Time that a step which is not urgent waits for runs to end before it has a run stopped.
 const PATIENCE: Duration = Duration::from_millis(700);
-/// Stops of one task for others, so that it is not kept from ending.
+/// Maximum number of times that a task is stopped for other steps, so that it can finish.
 const MOST_STOPS: u32 = 3;
-/// Weight of an accelerator against a core when runs to stop are chosen, in millicores: the
-/// platform's own figure.
+/// Weight of an accelerator in millicores when runs to stop are selected. The platform uses the same figure.
 const ACCELERATOR_WEIGHT: u64 = 8_000;
 
-/// Room that is kept for a step.
+/// Capacity that is reserved for a step.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct RoomClaim {
     since: CoreTime,
     until: CoreTime,
-    /// Processor that is kept, in millicores.
+    /// Reserved CPU in millicores.
     millicores: u64,
 }
 
-/// A way to room for one task on one worker.
+/// A plan to get capacity for one task on one worker.
 #[derive(Clone, Debug)]
 pub(super) struct RoomPlan {
     worker: WorkerId,
-    /// Time until the room is free.
+    /// Time until the capacity is free.
     after: Duration,
-    /// Runs whose room it takes, those that end by themselves among them.
+    /// Runs whose resources the task uses, including those that end without being stopped.
     freed: Vec<TaskKey>,
-    /// Runs to stop for it.
+    /// Runs to stop for the task.
     stops: Vec<TaskKey>,
-    /// Weight of what is stopped, in millicores.
+    /// Weight of the runs to stop, in millicores.
     weight: u64,
 }
 
@@ -81,13 +81,13 @@
         &self.worker
     }
 
-    /// Time until the room is free.
+    /// Returns the time until the capacity is free.
     pub(super) fn after(&self) -> Duration {
         self.after
     }
 }
 
-/// A plan for one task, in the order in which plans are taken.
+/// A plan for one task, ordered by when plans are selected.
 struct PlannedTask {
     place: usize,
     plan: RoomPlan,
@@ -119,22 +119,22 @@
 
 impl Eq for PlannedTask {}
 
-/// A worker with what plans so far leave of it.
+/// A worker, with its capacity after the plans made so far.
 struct PlannedSeat<'a> {
     id: &'a WorkerId,
     seat: &'a Seat,
-    /// What is free, and what becomes free by the plans so far.
+    /// Capacity that is free or that the plans made so far free.
     room: TaskSize,
-    /// What of it is kept for other steps or taken by the plans so far; it may be more than is free
-    /// yet. Counted as free it kept a worker idle for 6 s: two steps waited for the same room, each
-    /// shut out by what was kept for the other.
+    /// Part of it that is reserved for other steps or used by the plans made so far. It may be more than is
+    /// free yet. When it counted as free, a worker was idle for 6 s: two steps waited for the same capacity,
+    /// each blocked by the reservation of the other.
     taken: TaskSize,
     gone: Vec<TaskKey>,
     held: usize,
 }
 
 impl EntryCore {
-    /// Tells whether a step has waited so long for room that room is made for it.
+    /// Returns whether a step has waited so long for capacity that it may be reclaimed.
     pub(super) fn may_make_room(&self, key: StepKey) -> bool {
         let Some(lead) = self.lead.as_deref() else {
             return false;
@@ -151,14 +151,14 @@
         self.uses(PolicySwitch::Preemption) && self.age(*since) >= wait
     }
 
-    /// Tells whether room is being made or kept for a step.
+    /// Returns whether capacity is being reclaimed or reserved for a step.
     pub(super) fn has_room_claim(&self, key: StepKey) -> bool {
         let lead = self.lead.as_deref();
         let claim = lead.and_then(|lead| lead.room_claims.get(&key));
         claim.is_some_and(|claim| claim.until > self.now)
     }
 
-    /// Notes that tasks of a step found no room.
+    /// Records that tasks of a step found no capacity.
     pub(super) fn note_room_wait(&mut self, key: StepKey) {
         let now = self.now;
         if let Some(lead) = self.lead.as_deref_mut() {
@@ -166,7 +166,7 @@
         }
     }
 
-    /// Forgets that a step waited for room, and what was kept for it.
+    /// Forgets that a step waited for capacity, and drops its reservations.
     pub(super) fn drop_room_claim(&mut self, key: StepKey) {
         let now = self.now;
         let Some(lead) = self.lead.as_deref_mut() else {
@@ -180,7 +180,7 @@
         }
     }
 
-    /// Makes room for tasks of a step that found none.
+    /// Reclaims capacity for tasks of a step that found none.
     pub(super) fn make_room(&mut self, step: &PlacedStep, missing: usize) {
         let now = self.now;
         let key = step.key;
@@ -219,8 +219,8 @@
         self.carry_out(step, &plans);
     }
 
-    /// Keeps room on that was chosen, while it may still become free: guesses are off, and all
-    /// members of a gang wait for the last run on their workers.
+    /// Extends the reservations of a step while the capacity may still become free. Estimates are inaccurate,
+    /// and all members of a gang wait for the last run on their workers.
     fn keep_on(&mut self, key: StepKey) {
         let now = self.now;
         let Some(lead) = self.lead.as_deref_mut() else {
@@ -240,15 +240,15 @@
         }
     }
 
-    /// Plans room for tasks that last and return: what is kept for other steps gives way, but for those
-    /// that return as well.
+    /// Plans capacity for long-running tasks that restart. It may be reserved for other steps, unless they
+    /// restart as well.
     pub(super) fn plan_return(&self, step: &PlacedStep, tasks: usize) -> Vec<RoomPlan> {
         let lead = self.lead.as_deref();
         let stands = |key: StepKey| lead.is_some_and(|lead| lead.returning.contains_key(&key));
         self.plan_room(step, tasks, stands)
     }
 
-    /// Plans room for tasks of a step; what is kept for others stands as is told.
+    /// Plans capacity for tasks of a step, outside the reservations of the other steps that `stands` selects.
     fn plan_room(
         &self,
         step: &PlacedStep,
@@ -278,8 +278,8 @@
                 held: held_of(seat, step.key),
             })
             .collect();
-        // The soonest first. A plan changes only what is left of its own worker, so of a thousand
-        // workers each is gone through once, and those that are taken once more.
+        // Takes the plan with the earliest capacity first. A plan changes only the capacity of its own
+        // worker, so each of a thousand workers is planned once, and a selected one once more.
         let mut soonest: BinaryHeap<Reverse<PlannedTask>> = BinaryHeap::new();
         let next_on = |seats: &[PlannedSeat<'_>], place: usize| {
             let seat = &seats[place];
@@ -300,7 +300,7 @@
         plans
     }
 
-    /// The soonest way to room for one task on a worker.
+    /// Returns the plan with the earliest capacity for one task on a worker.
     fn plan_on(&self, step: &PlacedStep, planned: &PlannedSeat<'_>) -> Option<RoomPlan> {
         let patience = if step.urgent {
             Duration::ZERO
@@ -333,7 +333,8 @@
                 (after + patience, weight, stop, *task, live.room)
             })
             .collect();
-        // Of those that are free as soon, the largest first, so that few are stopped.
+        // Of the runs whose resources are free at the same time, the largest come first, so that few are
+        // stopped.
         ways.sort_unstable_by_key(|(after, _, _, task, size)| {
             (*after, Reverse(weight_of(size)), *task)
         });
@@ -352,7 +353,7 @@
         (wanted.fits(&room) && plan.after <= LONGEST_WAIT).then_some(plan)
     }
 
-    /// Time that a run still takes, by how far it has come and what is expected of its like.
+    /// Returns the remaining time of a run by its progress, or else by the expected run time of its task.
     fn time_left(&self, task: TaskKey, live: &LiveRun) -> Duration {
         if matches!(live.phase, RunPhase::Stopping { .. }) {
             return STOP_TIME;
@@ -368,7 +369,7 @@
 
     fn may_stop_for(&self, step: &PlacedStep, task: TaskKey, live: &LiveRun) -> bool {
         let stops = self.lead.as_deref().and_then(|lead| lead.stops.get(&task));
-        // Nothing can start in its place while the table is away.
+        // Nothing can start in its place while the table is unavailable.
         let may_stop = self.uses(PolicySwitch::Preemption) && !self.store_is_away();
         may_stop
             && live.saves
@@ -394,7 +395,7 @@
         self.keep_room(step, plans.iter().map(|plan| &plan.worker), until);
         let stops = plans.iter().map(|plan| plan.stops.len()).sum::<usize>();
         let detail = format!(
-            "room for {} tasks on {} after {after:?}, {stops} runs stopped",
+            "capacity for {} tasks, first on {}, after {after:?}, {stops} runs stopped",
             plans.len(),
             plans[0].worker
         );
@@ -405,7 +406,7 @@
         self.stop_for(plans);
     }
 
-    /// Stops what plans say is to be stopped.
+    /// Stops the runs that the plans stop.
     pub(super) fn stop_for(&mut self, plans: &[RoomPlan]) {
         for plan in plans {
             for task in &plan.stops {
@@ -419,7 +420,7 @@
 }
 
 impl PlannedSeat<'_> {
-    /// Takes the room of a plan; each run's room counts for one task only.
+    /// Applies a plan. The resources of each run count for one task only.
     fn take(&mut self, step: &PlacedStep, plan: &RoomPlan) {
         for task in &plan.freed {
             if let Some(live) = self.seat.runs.get(task) {
@@ -432,7 +433,7 @@
     }
 }
 
-/// Room that is kept on a worker for other steps, of those whose room stands.
+/// Returns the capacity that is reserved on a worker for the other steps that `stands` selects.
 fn kept_that_stands(
     seat: &Seat,
     step: StepKey,
--- a/crates/bankvalve_queue/src/core/orders.rs
+++ b/crates/bankvalve_queue/src/core/orders.rs
@@ -1,4 +1,4 @@
-//! Orders to workers: starts and stops, repeated until it is sure what became of them.
+//! Start and stop orders to workers, repeated until their outcome is known.
 
 use std::time::Duration;
 
@@ -12,28 +12,30 @@
 use crate::policy::PolicySwitch;
 use crate::worker::{StartOrder, StartRefusal, WorkerAnswer, WorkerCall};
 
-/// Longest wait for the answer to an order; as a rule it is repeated long before.
+/// Maximum time to wait for the answer to an order. Most orders are repeated much earlier, by the time that
+/// answers recently took.
 const ORDER_TIME: Duration = Duration::from_millis(350);
-/// Starts on their way to one worker, since each takes a connection of its own.
+/// Maximum number of start orders in flight to one worker. Each of them uses a connection.
 const STARTS_AT_ONCE: usize = 2;
-/// Pause before an order that was not sent is tried again.
+/// Time before an order that was not sent is repeated.
 const ORDER_PAUSE: Duration = Duration::from_millis(120);
-/// Tries of an order that was surely not carried out.
+/// Maximum number of attempts at an order that is known not to have been carried out.
 const ORDER_TRIES: u32 = 3;
-/// Time between two goes through all runs for orders that no list of those due names.
+/// Time between two scans of all runs for due orders that the list of due orders lacks.
 const ORDER_SCAN: Duration = Duration::from_millis(200);
-/// Age of what workers say of themselves up to which starts go by it: the platform lets a room that
-/// has shrunk count for its time of contact, three seconds at least, and a heartbeat more.
+/// Maximum age of the list of the workers' entries for a start to be checked against it. After a worker's
+/// capacity shrinks, the platform still accepts the old one for its contact time, at least three seconds, and
+/// one heartbeat more.
 const LIST_AGE: Duration = Duration::from_millis(3_000);
-/// Pause of a start while nothing newer is known.
+/// Time before a start is checked again if the workers' entries are too old.
 const LIST_PAUSE: Duration = Duration::from_millis(50);
-/// Pause before a stop is repeated.
+/// Time before a stop order is repeated.
 const STOP_PAUSE: Duration = Duration::from_millis(250);
-/// Rest of a worker that turned an order away as unwell.
+/// Back-off of a worker that refused an order because it was unwell.
 const UNWELL_REST: Duration = Duration::from_millis(1_500);
 
 impl EntryCore {
-    /// Sends the order for a run that is kept now.
+    /// Sends the order for a run whose start has been committed.
     pub(super) fn begin_order(&mut self, task: TaskKey, run: u64) {
         let now = self.now;
         let Some((worker, open)) = self.placed_on(task, run) else {
@@ -41,9 +43,9 @@
         };
         if !open || self.gang_is_broken(task.step) {
             let why = if open {
-                "its gang is broken"
+                "a member of its gang has ended"
             } else {
-                "its job is over"
+                "its job has ended"
             };
             let (how, saved) = (EndKind::NeverRan, String::new());
             self.end_without_report(&worker, task, run, how, saved, why);
@@ -65,7 +67,7 @@
         self.send_start(&worker, task);
     }
 
-    /// Tells whether a gang has lost a member, so that the others need not start.
+    /// Returns whether a gang has lost a member, so that the other members need not start.
     fn gang_is_broken(&self, step: crate::ids::StepKey) -> bool {
         let Some(job) = self.book.job(step.job) else {
             return false;
@@ -114,7 +116,7 @@
         let Some(until_ms) = seat.hold_until(bound) else {
             return;
         };
-        // A silent worker's hold must run out, or what it may run is never given up.
+        // The lease of an unresponsive worker must expire, or its runs are never declared lost.
         let until_ms = if seat.may_prolong(now, PROLONG_IF_HEARD) {
             until_ms
         } else {
@@ -122,7 +124,7 @@
         };
         seat.granted_until = seat.granted_until.max(until_ms);
         if seat.open_starts() >= STARTS_AT_ONCE {
-            // The answer to one of them sends the next.
+            // The answer to one of these orders sends the next one.
             return;
         }
         let Some(live) = seat.runs.get_mut(&task) else {
@@ -145,11 +147,11 @@
         self.call_worker(id, CallPurpose::Start { task, run }, call, time);
     }
 
-    /// Weighs a start, also one that is repeated, against the room that its worker has now: room
-    /// shrinks while a start is being kept, which takes seconds where the table is slow or away.
+    /// Returns whether a start, also a repeated one, fits the current capacity of its worker. The capacity
+    /// may shrink while the start is committed, which takes seconds if the table is slow or unavailable.
     ///
-    /// What would come on top of it is not sent, or stopped if it may be on its way. While it is not
-    /// known what the workers say of themselves now, it waits.
+    /// A start that does not fit is canceled, or stopped if its order may be in flight. While the worker's
+    /// current entry is unknown, the start waits.
     fn has_room_now(&mut self, id: &WorkerId, task: TaskKey) -> bool {
         if !self.keeps(SiteGuard::RoomOfNow) {
             return true;
@@ -172,16 +174,16 @@
             lead.have_order_due(now + LIST_PAUSE, id, task);
             return false;
         }
-        // A suspect has the whole worker by the book, and takes what its step does.
+        // A suspect is booked with the whole worker, but takes no more than its step's resources.
         let used = seat.used.minus(&live.room).plus(&wanted);
         if used.fits(&seat.entry.room) {
             return true;
         }
-        self.take_start_back(id, task, "room_shrunk", "its worker's room has shrunk");
+        self.take_start_back(id, task, "room_shrunk", "its worker's capacity has shrunk");
         false
     }
 
-    /// Takes a start back for which there is no room any more, or no leave.
+    /// Cancels a start that does not fit its worker or its customer's limit any more.
     fn take_start_back(&mut self, id: &WorkerId, task: TaskKey, kind: &'static str, why: &str) {
         let lead = self.lead.as_deref_mut();
         let Some(live) = lead.and_then(|lead| lead.live_run(id, &task)) else {
@@ -215,7 +217,7 @@
         self.send_waiting_starts(id);
     }
 
-    /// Sends starts that waited for others to the same worker.
+    /// Sends start orders to a worker that waited for other start orders to it.
     fn send_waiting_starts(&mut self, id: &WorkerId) {
         let now = self.now;
         let seat = self.lead.as_ref().and_then(|lead| lead.seats.get(id));
@@ -317,7 +319,7 @@
         }
     }
 
-    /// Stops a run; its end, or its absence from the lists, frees the room.
+    /// Stops a run. Its resources become free when the worker reports its end or no longer reports the run.
     pub(super) fn begin_stop_run(&mut self, id: &WorkerId, task: TaskKey) {
         let now = self.now;
         let counts = self.keeps(SiteGuard::StopsCount);
@@ -329,7 +331,8 @@
         };
         match live.phase {
             RunPhase::Stopping { .. } => return,
-            // It is ordered or found absent first; then this is asked for again.
+            // Nothing to stop yet. The run is ordered or found missing first; then the stop is requested
+            // again.
             RunPhase::Proposed | RunPhase::Adopted => return,
             _ => {}
         }
@@ -349,7 +352,7 @@
         }
     }
 
-    /// Repeats orders that have no answer.
+    /// Sends the orders that are due, and repeats those without an answer.
     pub(super) fn run_orders(&mut self) {
         if !self.may_command() {
             return;
@@ -377,7 +380,7 @@
         self.send_due_orders(due);
     }
 
-    /// Sends orders to runs that wait for one.
+    /// Sends the order that each of these runs waits for.
     fn send_due_orders(&mut self, due: Vec<(WorkerId, TaskKey)>) {
         let now = self.now;
         for (id, task) in due {
--- a/crates/bankvalve_queue/src/core/overdue.rs
+++ b/crates/bankvalve_queue/src/core/overdue.rs
@@ -1,8 +1,9 @@
-//! Runs that stand still or are far slower than their like: started elsewhere while it helps.
+//! Overdue runs: runs without progress or far slower than expected, which are started on another worker if
+//! that is faster.
 //!
-//! A worker's list tells how much of each run is done. A run of an urgent queue whose figure does
-//! not move, or moves so slowly that a start elsewhere ends long before it, is stopped; its task
-//! waits again once the stop is confirmed, and the worker rests.
+//! A worker's run list reports the progress of each run. A run of an urgent queue is stopped if it makes no
+//! progress, or so little that a start elsewhere would finish much earlier. Its task waits again once the
+//! stop is confirmed, and the worker backs off.
 
 use std::time::Duration;
 
@@ -13,33 +14,32 @@
 use crate::policy::PolicySwitch;
 use crate::worker::RunReport;
 
-/// Least time without progress after which a run stands still; a slow worker moves a short lookup
-/// by some percent in it.
+/// Minimum time without progress after which a run counts as stalled. Even a slow worker advances a short
+/// lookup by some percent in it.
 const STALL_LEAST: Duration = Duration::from_millis(400);
-/// Percents that a run of the usual length would have moved in the time after which it counts as
-/// standing still.
+/// Time without progress after which a run counts as stalled, in percent of its expected run time.
 const STALL_PERCENTS: u32 = 15;
-/// Least time of a run before its pace is judged.
+/// Minimum run time from which the pace of a run is known.
 const PACE_LEAST: Duration = Duration::from_millis(300);
-/// A run that takes this many times what its queue leads to expect is slow; guesses are off by up
-/// to a factor of two.
+/// Factor over its expected run time above which a run is slow. Estimates are off by up to a factor of two.
 const SLOW_FACTOR: u32 = 3;
-/// Time that a stop takes, and the start elsewhere until its work begins.
+/// Time to stop a run and to start its task elsewhere until its work begins.
 const RESTART_TIME: Duration = Duration::from_millis(500);
-/// What is left of a slow run must be this many times what a start elsewhere takes.
+/// Factor by which the remaining time of a slow run must exceed the time of a start elsewhere.
 const WORTH_FACTOR: u32 = 2;
-/// Rest of a worker on which a run stands still or is slow.
+/// Back-off of a worker on which a run is stalled or slow.
 const OVERDUE_REST: Duration = Duration::from_millis(2_500);
-/// Stops of one task for this reason, so that it is never moved in circles.
+/// Maximum number of times that a task is stopped as overdue, so that it does not move between workers
+/// forever.
 const MOST_MOVES: u32 = 2;
 
-/// How far a run has come, as its worker's lists tell.
+/// Progress of a run, as its worker's run lists report it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct RunProgress {
     percent: u32,
-    /// When the figure was first seen as it is.
+    /// When the current percentage was first reported.
     since: CoreTime,
-    /// When the last list was asked for; what it tells is no older.
+    /// When the last list was requested. The progress in it is no older.
     asked_at: CoreTime,
 }
 
@@ -60,7 +60,7 @@
 }
 
 impl RunProgress {
-    /// Takes what a list tells that was asked for at a time and has come now.
+    /// Returns the progress after a run list that was requested at `asked_at` and has arrived now.
     pub(super) fn note(
         known: Option<Self>,
         percent: u32,
@@ -77,13 +77,13 @@
         }
     }
 
-    /// Time that a run still takes at its pace, if that can be told.
+    /// Returns the remaining time of a run at its pace, or `None` if the pace is not known.
     pub(super) fn time_left(&self, ran: Duration) -> Option<Duration> {
         let known = self.percent > 0 && ran >= PACE_LEAST;
         known.then(|| (ran * 100 / self.percent).saturating_sub(ran))
     }
 
-    /// Judges a run that began at a time and is expected to take a time.
+    /// Returns why a run is overdue, or `None` if it is not.
     fn judge(&self, began: CoreTime, expected: Duration) -> Option<OverdueReason> {
         let stall = STALL_LEAST.max(expected * STALL_PERCENTS / 100);
         if self.asked_at.saturating_sub(self.since) > stall {
@@ -102,7 +102,7 @@
 }
 
 impl EntryCore {
-    /// Notes how far the runs of a worker have come, and moves those that are overdue.
+    /// Records the progress of a worker's runs, and stops the overdue ones to start them elsewhere.
     pub(super) fn judge_progress(
         &mut self,
         id: &WorkerId,
@@ -129,7 +129,7 @@
             };
             let progress = RunProgress::note(live.progress, report.percent, asked_at, now);
             live.progress = Some(progress);
-            // Each start of a suspect may end a worker, and it is granted few.
+            // Each start of a suspect may end another worker, and a suspect gets few starts.
             if moves >= MOST_MOVES || is_suspect || !may_move(live) {
                 continue;
             }
@@ -142,13 +142,13 @@
         }
     }
 
-    /// The time that a task is expected to run: what its job says, and how far its queue's jobs
-    /// were off lately.
+    /// Returns the expected run time of a task: the estimate of its job, corrected by the recent estimate
+    /// error of the queue.
     pub(super) fn expected_time(&self, task: TaskKey) -> Duration {
         let Some(job) = self.book.job(task.step.job) else {
             return Duration::ZERO;
         };
-        // A worker's list may name what its job does not have.
+        // A worker's run list may name a step that the job does not have.
         let Some(step) = job.spec.steps.get(usize::from(task.step.step)) else {
             return Duration::ZERO;
         };
@@ -173,7 +173,7 @@
     }
 }
 
-/// Tells whether a run may be stopped and started elsewhere to end sooner.
+/// Returns whether a run may be stopped and started elsewhere to finish earlier.
 fn may_move(live: &LiveRun) -> bool {
     live.urgent && !live.together && matches!(live.phase, RunPhase::Running { .. })
 }
--- a/crates/bankvalve_queue/src/core/placing.rs
+++ b/crates/bankvalve_queue/src/core/placing.rs
@@ -1,4 +1,4 @@
-//! Placement: which waiting task runs on which worker.
+//! The placement loop: decides which waiting task runs on which worker.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -19,31 +19,33 @@
 use crate::policy::PolicySwitch;
 use crate::queue_table::AdviceRule;
 
-/// Steps that are looked at in one placement, by rank.
+/// Maximum number of steps considered in one placement pass, in the order of their ranks.
 const LOOK_LIMIT: usize = 100;
-/// Least time between two placements.
+/// Minimum time between two placement passes.
 const PLACE_PACE: Duration = Duration::from_millis(4);
-/// Added to it for each step that is looked at, so that a long queue does not take the whole
-/// processor: some three times what a look costs on a quarter of a core.
+/// Added to [`PLACE_PACE`] for each step that the last pass considered, so that a long queue does not use the
+/// whole CPU. About three times the cost of considering a step on a quarter of a core.
 const PLACE_EACH: Duration = Duration::from_micros(300);
-/// Time between two placements when nothing is known to have changed.
+/// Time after which a placement pass runs although nothing is known to have changed.
 const PLACE_IDLE: Duration = Duration::from_millis(250);
-/// Time beyond a question's own for which room is kept for its step.
+/// Time for which capacity stays reserved for a step after the answer to its advice request is expected.
 const RESERVE_SLACK: Duration = Duration::from_millis(60);
-/// Share of live peers that must be idle for a step to explore that can only end late, and for one that
-/// ends too late to be of use, in percent; a third of them is left to short questions.
+/// Percentage of the live peers that must be idle advisers for a step to request advice about further workers
+/// if its job can only finish late. Long advice requests leave a third of the instances free for short ones.
 const LATE_IDLE_PERCENT: usize = 40;
+/// Percentage of the live peers that must be idle advisers if the job can only finish too late to earn
+/// anything.
 const TOO_LATE_IDLE_PERCENT: usize = 50;
 
-/// Failed runs that a queue allows at most for its gangs to prefer workers whose last run did not fail:
-/// with more of them a run that is tried at once is worth more than one that waits for such workers.
+/// Maximum number of failed runs that a queue may allow for its gangs to prefer workers whose last run did
+/// not fail. If the queue allows more, starting at once is worth more than waiting for such workers.
 const FEW_ATTEMPTS: u32 = 2;
 
-/// Added to the priority of what is beyond its customer's share: whatever else there is may take its
-/// room.
+/// Added to the priority value of a step beyond its customer's share, so that any other step may preempt its
+/// runs.
 const BEYOND_PRIORITY: u32 = 1_000;
 
-/// A step that is being placed.
+/// A step whose tasks are being placed.
 pub(super) struct PlacedStep {
     pub(super) key: StepKey,
     pub(super) spec: StepSpec,
@@ -55,29 +57,29 @@
     pub(super) room: TaskSize,
     pub(super) priority: u32,
     pub(super) urgent: bool,
-    /// Whether it prefers workers that were measured as fast.
+    /// Whether the step prefers workers on which tasks run faster.
     pub(super) fast_first: bool,
-    /// Whether it prefers workers whose last run did not fail.
+    /// Whether the step prefers workers whose last run did not fail.
     pub(super) proved_first: bool,
-    /// Tasks among them that are suspects and start where nothing else runs.
+    /// Suspects among the tasks that start only where nothing else runs.
     alone: Vec<TaskKey>,
-    /// Tasks among them that are suspects and start where nothing else that is new runs.
+    /// Suspects among the tasks that start only where no other new run is.
     apart: Vec<TaskKey>,
-    /// Workers that ended under those that start alone: one more end there would be no further evidence.
+    /// Workers that ended under the isolated suspects. Another end of the same worker would add no evidence.
     pub(super) tried_on: Vec<WorkerId>,
-    /// Whether a task among them lasts and has been away for too long, so that workers that rest are
-    /// taken as well.
+    /// Whether a long-running task among them is past its restart deadline, so that workers in back-off are
+    /// eligible too.
     pub(super) pressed: bool,
 }
 
-/// Tasks to be placed, those among them that start alone, and those that start apart from new runs.
+/// The tasks to place, the isolated suspects among them, and the suspects placed apart from new runs.
 type TrialTasks = (Vec<TaskKey>, Vec<TaskKey>, Vec<TaskKey>);
 
-/// Choice of workers for tasks of a step.
+/// Tasks of a step, each with the worker selected for it.
 pub(super) type Choice = Vec<(TaskKey, WorkerId)>;
 
 impl PlacedStep {
-    /// Most tasks of the step on one worker.
+    /// Returns the maximum number of the step's tasks on one worker.
     pub(super) fn worker_limit(&self) -> usize {
         match self.spec.per_worker_limit {
             0 => usize::MAX,
@@ -85,7 +87,7 @@
         }
     }
 
-    /// Room that a task takes on a worker.
+    /// Returns the resources that a task takes on a worker. An isolated task takes the whole worker.
     pub(super) fn room_of(&self, task: &TaskKey, seat: &Seat) -> TaskSize {
         if self.alone.contains(task) {
             seat.entry.room
@@ -94,22 +96,23 @@
         }
     }
 
-    /// Whether suspects are among its tasks that start alone or apart.
+    /// Returns whether any task is a suspect that must be isolated or placed apart from new runs.
     pub(super) fn has_trials(&self) -> bool {
         !(self.alone.is_empty() && self.apart.is_empty())
     }
 
-    /// Whether a task may go to a worker for what else runs there.
+    /// Returns whether a task may start beside the runs that the worker has.
     pub(super) fn may_join(&self, task: &TaskKey, seat: &Seat, now: CoreTime) -> bool {
         !self.apart.contains(task) || !seat.has_new_run(now)
     }
 
-    /// Whether none of its tasks is tried apart from others.
+    /// Returns whether all tasks may start beside any other runs.
     pub(super) fn is_among_others(&self) -> bool {
         !self.has_trials()
     }
 
-    /// Room that each of its tasks takes on a worker; of a gang, that of the others than suspects.
+    /// Returns the resources that each task takes on a worker: the whole worker if all tasks are isolated, or
+    /// else those of a task that is not.
     pub(super) fn room_on(&self, seat: &Seat) -> TaskSize {
         if self.alone.len() == self.tasks.len() {
             seat.entry.room
@@ -123,7 +126,7 @@
     pub(super) fn run_placing(&mut self) {
         let now = self.now;
         let by_time = self.uses(PolicySwitch::LatestStart);
-        // Without a configuration no customer's limit is known.
+        // Without a configuration, the customers' limits are unknown.
         let blocked = self.store_is_away() || !self.may_command() || self.table.is_none();
         let Some(lead) = self.lead.as_deref_mut() else {
             return;
@@ -178,7 +181,7 @@
         self.refresh_touched_steps();
     }
 
-    /// Steps whose tasks were just placed leave the waiting ones.
+    /// Updates the waiting steps whose tasks have just been placed, without causing another placement pass.
     fn refresh_touched_steps(&mut self) {
         self.refresh_touched();
         if let Some(lead) = self.lead.as_deref_mut() {
@@ -186,7 +189,8 @@
         }
     }
 
-    /// Tells cheaply whether a task of a step could fit anywhere.
+    /// Returns whether a task of a step could fit on any worker, by a cheap check against the largest free
+    /// amounts.
     fn may_fit(&self, key: StepKey, most: &TaskSize) -> bool {
         let job = self.book.job(key.job);
         let spec = job.and_then(|job| job.spec.steps.get(usize::from(key.step)));
@@ -204,7 +208,7 @@
         (!step.tasks.is_empty()).then_some(step)
     }
 
-    /// A step with tasks that are to start among others, whether they wait yet or not.
+    /// Prepares tasks of a step for a start beside any other runs, whether the tasks wait yet or not.
     pub(super) fn due_step(&self, key: StepKey, tasks: Vec<TaskKey>) -> Option<PlacedStep> {
         self.placed_step(key, (tasks, Vec::new(), Vec::new()))
     }
@@ -253,7 +257,8 @@
             tried_on,
             pressed,
         };
-        // On a site that has no other worker for it, it is tried there again.
+        // If no other worker is eligible, the workers that have already ended under the task are eligible
+        // again.
         let mut seats = lead.iter().flat_map(|lead| lead.seats.iter());
         if !step.tried_on.is_empty() && !seats.any(|entry| admits(entry, &step, self.now)) {
             step.tried_on.clear();
@@ -261,9 +266,11 @@
         Some(step)
     }
 
-    /// The tasks of a step that are to be placed now, which of them alone, and which apart: those that nothing speaks
-    /// against first, then suspects in their turn; a gang as a whole, its suspects first. One that has been
-    /// away for too long waits for no turn, unless it may end the workers of others.
+    /// Returns the tasks of a step to place now, and which of them must be isolated or apart from new runs.
+    ///
+    /// Tasks that are not suspects come first. Suspects follow when their trial runs may start. A gang is
+    /// placed as a whole, its suspects first. A suspect past its restart deadline is placed like any other
+    /// task, unless it must be isolated.
     fn tasks_to_place(&mut self, key: StepKey) -> Option<TrialTasks> {
         let job = self.book.job(key.job)?;
         let spec = job.spec.steps.get(usize::from(key.step))?;
@@ -339,7 +346,7 @@
             }
             return;
         }
-        // Far fewer are permitted than there are.
+        // Looks workers up by id, because far fewer have permits than there are workers.
         let admitted = |id| {
             let seat = lead.seats.get(id)?;
             admits((id, seat), step, now).then_some((id, seat))
@@ -365,8 +372,9 @@
         let placed: Vec<TaskKey> = choice.iter().map(|(task, _)| *task).collect();
         self.start_choice(step, choice);
         let seeks_room = can_ask && question.is_empty();
-        // A gang may wait long until all its room is free by chance among ever more workers: room is
-        // made on those that may run it, if they have enough, before others are asked about.
+        // It could take long until enough capacity for a gang becomes free by chance, however many workers it
+        // asks about. So capacity is first reclaimed on the workers that may run it, if there are enough of
+        // them.
         if whole || (seeks_room && (others.is_empty() || step.spec.gang)) {
             self.settle_room(step, placed.len());
         }
@@ -380,11 +388,11 @@
         }
     }
 
-    /// Tells whether a step may ask about workers that it was not told of: one that cannot end in
-    /// time any more leaves the instances that ask to others while few of them are idle.
+    /// Returns whether a step may request advice about unknown workers. A step that can no longer finish in
+    /// time may do so only while enough peers are idle advisers.
     ///
-    /// In a backlog a hundred gangs have questions on their way, on as many instances, and those that
-    /// can still be in time wait behind them.
+    /// In a backlog, a hundred gangs have advice requests pending, on as many instances. Without this check,
+    /// gangs that can still finish in time wait behind them.
     fn may_explore(&self, key: StepKey) -> bool {
         let lead = self.lead.as_deref();
         let step = lead.and_then(|lead| lead.waiting.get(&key));
@@ -393,11 +401,12 @@
             Some(Lateness::TooLate) => TOO_LATE_IDLE_PERCENT,
             _ => return true,
         };
-        // Of those that live: an instance that is left alone asks by itself.
+        // Counted among live peers only, so that a leader without any may still send its own requests.
         self.idle_advisers() * 100 >= self.live_peers().count() * least
     }
 
-    /// Makes room for the tasks of a step that found none, if it has waited long enough.
+    /// Reclaims capacity for the tasks of a step that found none, once the step has waited long enough. If
+    /// all tasks were placed, drops the step's capacity claim.
     fn settle_room(&mut self, step: &PlacedStep, placed: usize) {
         let missing = step.tasks.len() - placed;
         if missing == 0 {
@@ -410,7 +419,7 @@
         }
     }
 
-    /// Keeps room for a step while its permits are renewed.
+    /// Reserves capacity for a step while its permits are renewed.
     fn reserve(&mut self, step: &PlacedStep, choice: &Choice, until: CoreTime) {
         if !self.uses(PolicySwitch::PermitRoom) {
             return;
@@ -418,8 +427,8 @@
         self.keep_room(step, choice.iter().map(|(_, worker)| worker), until);
     }
 
-    /// Keeps room for a task of a step on each of these workers, once for each time that one is
-    /// named.
+    /// Reserves capacity for one task of a step on each of these workers; for several on a worker that occurs
+    /// several times.
     pub(super) fn keep_room<'a>(
         &mut self,
         step: &PlacedStep,
@@ -477,7 +486,10 @@
             let left = seat.entry.room.minus(&seat.used).millicores;
             let waited = lead.wait_sight.start_text(&task, now);
             self.log_often("placer", "place", || {
-                let detail = format!("run {} on {worker}, room left {left}{waited}", step.run);
+                let detail = format!(
+                    "run {} on {worker}, {left} millicores left{waited}",
+                    step.run
+                );
                 (task.to_string(), detail)
             });
             let run = step.run;
--- a/crates/bankvalve_queue/src/core/reports.rs
+++ b/crates/bankvalve_queue/src/core/reports.rs
@@ -1,4 +1,4 @@
-//! What a worker's lists tell: runs that go on, runs that ended, and runs that it does not have.
+//! Handling of a worker's run lists: running runs, ended runs, and runs that the worker does not report.
 
 use std::time::Duration;
 
@@ -15,15 +15,15 @@
 use crate::policy::PolicySwitch;
 use crate::worker::{EndReport, HoldReport, RunReport};
 
-/// Weight of one task in what is known of a queue's guesses.
+/// Weight of one task in the average error of a queue's run time estimates.
 const GUESS_WEIGHT: f64 = 0.02;
-/// Least ratio of a measured to a guessed run time that is taken for one.
+/// Minimum ratio of a task's measured to its estimated run time. Smaller ratios count as this one.
 const LEAST_RATIO: f64 = 0.05;
 
-/// A run of a task that lasts which lived for longer fails by itself, as such tasks may at any time, and
-/// speaks against its worker no more: they never end well, so that three such failures in hours had a
-/// worker rest, and each later one for up to 24 s. A worker that fails what it starts does so within
-/// its shortest rest.
+/// Run time beyond which the failure of a long-running task does not count against its worker. Such tasks may
+/// fail at any time and never end as done, which would reset the count of failures: three failures within
+/// hours put a worker into back-off, and each later one for up to 24 s. A worker that fails what it starts
+/// does so within its shortest back-off.
 const SERVED_LIFE: Duration = Duration::from_secs(3);
 
 /// A run that ended with its worker.
@@ -33,7 +33,7 @@
     how: EndKind,
     saved: String,
     why: String,
-    /// Whether what is told of its worker's end is not kept yet.
+    /// Whether the evidence of its worker's end has not been committed before.
     is_news: bool,
 }
 
@@ -68,7 +68,7 @@
                 self.log_often("runs", "end_passed_over", || {
                     let (how, number) = (end.how.as_str(), end.number);
                     let detail = format!(
-                        "run {} on {id}: {how}, its number {number} is not above {seen}, the last taken",
+                        "run {} on {id}: {how}, end number {number} is not above {seen}, the last one handled",
                         end.run
                     );
                     (end.task.to_string(), detail)
@@ -123,7 +123,7 @@
                 "workers",
                 "rest",
                 id.to_string(),
-                "fails what it starts".into(),
+                "runs that it starts fail".into(),
             );
         }
         self.log_often("runs", "end", || {
@@ -140,8 +140,8 @@
             self.propose_end(end.task, end.run, end.how, end.saved.clone(), effect);
         } else {
             if end.how == EndKind::Done && self.book.job(job).is_none() {
-                // It cannot be kept; if the job is known to others, its task may be done twice.
-                let detail = format!("run {} on {id}: done, its job is not known here", end.run);
+                // The end cannot be committed. If other instances know the job, its task may run twice.
+                let detail = format!("run {} on {id}: done, its job is unknown here", end.run);
                 self.log("runs", "end_unknown", end.task.to_string(), detail);
                 self.counters.count("ends", "of_unknown_job");
             }
@@ -156,7 +156,7 @@
         )
     }
 
-    /// Tells whether a good end is of a run that was given up, of a task that is not done since.
+    /// Returns whether a successful end is that of a run that was declared lost, of a task not done since.
     fn is_late_done(&self, task: TaskKey, run: u64) -> bool {
         let Some(job) = self.book.job(task.step.job) else {
             return false;
@@ -168,8 +168,8 @@
         open && ends && job.step(task.step).is_some_and(late) && self.keeps(SiteGuard::LateDone)
     }
 
-    /// Takes back what was placed since for a task that turns out to be done, or for all members
-    /// of its gang: what was not ordered yet never is, and what was is stopped.
+    /// Cancels what was placed since for a task that turns out to be done, or for all members of its gang.
+    /// Runs that have not been ordered are dropped, the others are stopped.
     fn take_back_later_runs(&mut self, task: TaskKey) {
         let Some(job) = self.book.job(task.step.job) else {
             return;
@@ -274,14 +274,15 @@
         }
     }
 
-    /// The step that a task belongs to; an empty one if its job is not known.
+    /// Returns the step that a task belongs to, or an empty one if its job is unknown.
     fn spec_of(&self, task: TaskKey) -> StepSpec {
         let job = self.book.job(task.step.job);
         let step = job.and_then(|job| job.spec.steps.get(usize::from(task.step.step)));
         step.cloned().unwrap_or_default()
     }
 
-    /// Runs that are in neither list never began, or are gone.
+    /// Ends runs that the worker lists neither as running nor as ended: they never started, or no longer
+    /// exist.
     fn settle_missing(&mut self, id: &WorkerId, sent_at: CoreTime, report: &HoldReport) {
         let newer = self.keeps(SiteGuard::NewerList);
         let Some(lead) = self.lead.as_deref_mut() else {
@@ -303,7 +304,7 @@
                 RunPhase::Stopping {
                     confirmed: Some(at),
                 } => at < sent_at || !newer,
-                // It was confirmed before the worker was asked, so the list is newer.
+                // The start was confirmed before the list was requested, so the list is newer.
                 RunPhase::Running { since } => since < sent_at || !newer,
                 _ => false,
             };
@@ -313,7 +314,7 @@
             }
         }
         for (task, run, how, saved) in missing {
-            let why = "no list has it";
+            let why = "the worker does not report it";
             self.end_without_report(id, task, run, how, saved, why);
             if matches!(how, EndKind::Crashed(_)) {
                 self.log_crash(task);
@@ -321,7 +322,7 @@
         }
     }
 
-    /// Ends a run that no list will tell of; `why` tells by what that is known.
+    /// Ends a run whose end no worker will report. `why` is the reason for the log.
     pub(super) fn end_without_report(
         &mut self,
         id: &WorkerId,
@@ -354,14 +355,14 @@
         }
     }
 
-    /// Logs how many workers have ended under a task by now, and what follows.
+    /// Logs how many workers have ended under a task so far, and what happens to the task.
     pub(super) fn log_crash(&mut self, task: TaskKey) {
         let job = self.book.job(task.step.job);
         let Some(count) = job.and_then(|job| job.task(task)?.crash_count()) else {
             return;
         };
         let next = match (count.is_spent(), count.is_suspect()) {
-            (true, _) => "given up",
+            (true, _) => "fails as crashing",
             (_, true) => "suspect",
             _ => "starts again",
         };
@@ -370,13 +371,14 @@
         let (last, chance) = (last.unwrap_or_default(), count.chance_ppm());
         self.log_often("runs", "crash", || {
             let detail = format!(
-                "{number} workers ended under it, all proofs by chance {chance:.3} in a million: {next}; {last}"
+                "{number} workers ended under it, odds that all strong evidence is chance {chance:.3} in a million: \
+                 {next}; {last}"
             );
             (task.to_string(), detail)
         });
     }
 
-    /// Ends all runs of a worker that surely runs nothing any more.
+    /// Declares a worker lost and ends all its runs, which are known to run no more.
     pub(super) fn give_up_seat(&mut self, id: &WorkerId, end: LifeEnd) {
         let now = self.now;
         let Some(lead) = self.lead.as_deref() else {
--- a/crates/bankvalve_queue/src/core/waiting.rs
+++ b/crates/bankvalve_queue/src/core/waiting.rs
@@ -1,4 +1,4 @@
-//! Steps whose turn has come, and in which order they get room.
+//! Steps that wait for placement, and the order in which they get capacity.
 
 use super::customer_shares::JobTurn;
 use super::EntryCore;
@@ -7,49 +7,48 @@
 use crate::job::{StepSpec, TaskSize};
 use crate::ledger::{JobOutcome, JobRecord, TaskPhase, TimeRecord};
 
-/// A job that takes this many times its objective earns nothing more.
+/// Multiple of its objective after which a job earns nothing.
 const LATE_FACTOR: f64 = 3.0;
 
-/// A step with tasks that wait for room.
+/// A step with tasks that wait for placement.
 #[derive(Clone, Debug)]
 pub(super) struct WaitingStep {
     pub(super) tasks: u32,
-    /// When its job has its turn, if its customer had sent more than its share when it came.
+    /// Scheduled start of its job, if the job exceeded its customer's share when it arrived.
     turn: Option<JobTurn>,
     pub(super) gang: bool,
-    /// Room that each of its tasks takes, with the processor of those that fill.
+    /// Resources of each task. Those of a best-effort task include the CPU that it uses but does not reserve.
     pub(super) size: TaskSize,
     pub(super) customer: Option<CustomerName>,
     priority: u32,
-    /// Whether its tasks last: they have no end that could be late.
+    /// Whether the tasks are long-running: they have no end that could be late.
     lasting: bool,
-    /// Latest start with which the job still ends within its objective, by the time of day.
+    /// Latest start with which the job finishes within its objective, in Unix milliseconds.
     on_time_ms: i64,
     begin_ms: i64,
-    /// Latest start with which it still earns anything.
+    /// Latest start with which the job still earns something, in Unix milliseconds.
     late_ms: i64,
 }
 
-/// How a job can still end.
+/// How late a job can finish at the earliest.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Lateness {
-    /// Within its objective; an urgent one counts so whatever the time, and one whose tasks last: by its
-    /// job's age it would be too late for good, and be asked about last of all.
+    /// Within its objective. Urgent jobs and long-running tasks always count as in time: by the age of its
+    /// job, a long-running task would always be too late, and advice for it would be requested last.
     InTime,
-    /// Late, for a part of its worth.
+    /// Late, for a part of its value.
     Late,
-    /// Too late to be of use.
+    /// Too late to earn anything.
     TooLate,
 }
 
 /// Added to the class of steps beyond their customers' shares.
 const BEYOND_CLASS: u32 = 4;
 
-/// Order of waiting steps; smaller ones come first.
+/// Class of a waiting step, and its place in the class. Smaller ranks come first.
 pub(super) type WaitingRank = (u32, i64);
 
-/// Rank of steps with tasks that last and are away: few, and bound to run again in time whatever
-/// else waits.
+/// Rank of long-running steps that restart. They are few, and must run again in time whatever else waits.
 pub(super) const FIRST_RANK: WaitingRank = (0, i64::MIN);
 
 impl WaitingStep {
@@ -62,7 +61,7 @@
             0 => job.accepted_at,
             due => due,
         } as f64;
-        // What is beyond its customer's share is in time if it is by its turn.
+        // The objective of a job beyond its customer's share counts from its scheduled start.
         let begin = begin + turn.map_or(0.0, |turn| turn.wait.as_secs_f64() * 1_000.0);
         let step = &job.spec.steps[usize::from(key.step)];
         Self {
@@ -79,17 +78,17 @@
         }
     }
 
-    /// Tells whether it is of a queue that comes first.
+    /// Returns whether its queue has the highest priority.
     pub(super) fn is_urgent(&self) -> bool {
         self.priority == 0
     }
 
-    /// Tells whether all that is within its customer's share comes before it.
+    /// Returns whether all steps within their customers' shares come before it.
     pub(super) fn is_beyond_share(&self, now: CoreTime) -> bool {
         self.turn.is_some_and(|turn| now < turn.at)
     }
 
-    /// How its job can still end if it starts at a time of day.
+    /// Returns how late its job can finish if it starts at a time of day.
     pub(super) fn lateness(&self, wall_ms: u64) -> Lateness {
         let now = wall_ms as i64;
         if self.priority == 0 || self.lasting || now <= self.on_time_ms {
@@ -101,11 +100,12 @@
         }
     }
 
-    /// Rank at a time of day: urgent work first, then what can still end in time by its latest
-    /// start, then what can still end late, then the rest; after all that, in the same order, what
-    /// is beyond its customer's share.
+    /// Returns the rank at a time of day. Urgent steps come first, then steps that can still finish in time,
+    /// then steps that can finish late, then the others; in each class, by their latest start in time. Steps
+    /// beyond their customers' shares come after all these, in the same order.
     ///
-    /// Without regard to time, by priority and acceptance alone.
+    /// Without `by_time`, the rank depends only on the priority and on when the job was accepted or became
+    /// due.
     pub(super) fn rank(&self, now: CoreTime, wall_ms: u64, by_time: bool) -> WaitingRank {
         if !by_time {
             return (self.priority, self.begin_ms);
@@ -125,7 +125,7 @@
 }
 
 impl EntryCore {
-    /// Looks again at the steps of jobs to which something happened.
+    /// Updates the waiting steps of jobs that have changed.
     pub(super) fn refresh_touched(&mut self) {
         let Some(lead) = self.lead.as_deref_mut() else {
             return;
@@ -204,7 +204,8 @@
     }
 }
 
-/// A gang starts whole; what is left of a broken one ends first.
+/// Returns whether only a part of a gang waits. A gang starts as a whole, so what still runs of it ends
+/// first.
 fn gang_is_partial(spec: &StepSpec, waiting: u32) -> bool {
     spec.gang && waiting < spec.count
 }
