--- a/crates/bankvalve_queue/src/core/former_leaders.rs
+++ b/crates/bankvalve_queue/src/core/former_leaders.rs
@@ -4,7 +4,7 @@
 //! more. It was not there when the holds were asked for, so what it may assume rests on two promises
 //! that each leader keeps:
 //!
-//! - *Certain:* without more, a hold that it asks for ends [`HOLD`] after the last moment at which the
+//! - *Certain:* without more, a hold that it asks for ends [`LEASE_DURATION`] after the last moment at which the
 //!   table is known to have had its row. Whoever claims the row has thereby outlived that moment.
 //! - *In touch:* it goes beyond that, for as long as the table is away for all, only while each peer
 //!   that it was in touch with lately still hears it. An instance that was in touch and hears the
@@ -18,11 +18,11 @@
 use std::time::Duration;
 
 use super::election::LeaderView;
-use super::holds::{HOLD, SLOW_CLOCK_FACTOR, UNCONFIRMED_LIMIT};
+use super::lease_renewal::{LEASE_DURATION, SLOW_CLOCK_FACTOR, UNCONFIRMED_LIMIT};
 use super::EntryCore;
 use crate::guard::SiteGuard;
 use crate::ids::CoreTime;
-use crate::peer::{HeartbeatNews, PeerAddress};
+use crate::peer::{HeartbeatBody, PeerAddress};
 
 /// A peer that has heard what was sent so lately is in touch: three heartbeats of a far member, each
 /// way, and a slow turn.
@@ -97,7 +97,7 @@
     }
 
     /// When all holds that they asked for are surely over.
-    pub(super) fn holds_over_at(&self) -> CoreTime {
+    pub(super) fn leases_expire_at(&self) -> CoreTime {
         let over = |former: &FormerLeader| {
             former.stops_by + former.hold.mul_f64(SLOW_CLOCK_FACTOR) + ORDER_SLACK
         };
@@ -106,7 +106,7 @@
 
     /// Longest time for which a hold lasts that any of them asked for: of a worker that has taken up the
     /// next token, no hold of theirs is younger than that.
-    pub(super) fn longest_hold(&self) -> Duration {
+    pub(super) fn longest_lease(&self) -> Duration {
         let holds = self.leaders.iter().map(|former| former.hold);
         holds.max().unwrap_or_default().mul_f64(SLOW_CLOCK_FACTOR) + ORDER_SLACK
     }
@@ -128,7 +128,7 @@
     pub(super) fn note_heartbeat(
         &mut self,
         from: PeerAddress,
-        news: &HeartbeatNews,
+        news: &HeartbeatBody,
         now: CoreTime,
     ) {
         for former in self
@@ -151,8 +151,8 @@
 
 impl EntryCore {
     /// Longest hold that is asked of workers.
-    pub(super) fn hold_time(&self) -> Duration {
-        HOLD.min(self.settings.hold_limit)
+    pub(super) fn lease_duration(&self) -> Duration {
+        LEASE_DURATION.min(self.settings.hold_limit)
     }
 
     /// Another epoch is heard of.
@@ -164,7 +164,7 @@
     /// Notes that another leads after `old`, or this instance.
     pub(super) fn note_former_leader(&mut self, old: &LeaderView) {
         let now = self.now;
-        let known = self.keeps(SiteGuard::KnownHolds);
+        let known = self.enforces(SiteGuard::KnownHolds);
         let heard = self.in_touch_until(old).filter(|_| known);
         let (stops_by, known) = match (self.has_ended(old), heard) {
             (true, _) => (now, true),
@@ -178,10 +178,10 @@
     /// Longest hold that a leader asked for, as it or another life at its address has told.
     fn told_hold(&self, old: &LeaderView) -> Option<Duration> {
         if old.address == self.settings.address {
-            return Some(self.hold_time());
+            return Some(self.lease_duration());
         }
-        let told = self.peers.get(&old.address)?.news.hold_ms;
-        (told > 0 && self.keeps(SiteGuard::KnownHolds)).then(|| Duration::from_millis(told))
+        let told = self.peers.get(&old.address)?.heartbeat.hold_ms;
+        (told > 0 && self.enforces(SiteGuard::KnownHolds)).then(|| Duration::from_millis(told))
     }
 
     /// Takes from what all members tell that a leader of before, of whose end nothing is known, is in
@@ -189,11 +189,11 @@
     ///
     /// After a loss of all those that come back were in touch with nobody. But whoever the leader could
     /// be in touch with is a member: if all others are heard, and none of them hears it, nobody is.
-    pub(super) fn note_unheard_leaders(&mut self) {
-        if self.former_leaders.are_known() || !self.keeps(SiteGuard::KnownHolds) {
+    pub(super) fn note_unreachable_leaders(&mut self) {
+        if self.former_leaders.are_known() || !self.enforces(SiteGuard::KnownHolds) {
             return;
         }
-        let (now, own) = (self.now, self.hold_time());
+        let (now, own) = (self.now, self.lease_duration());
         let mut leaders = std::mem::take(&mut self.former_leaders.leaders);
         for former in leaders.iter_mut().filter(|former| !former.known) {
             if self.nobody_hears(former) {
@@ -218,8 +218,8 @@
         named
             && silent
             && others.all(|(_, peer)| {
-                let age = Duration::from_millis(peer.news.leader_age_ms);
-                let hears = peer.news.leader == Some(former.address) && age < IN_TOUCH;
+                let age = Duration::from_millis(peer.heartbeat.leader_age_ms);
+                let hears = peer.heartbeat.leader == Some(former.address) && age < IN_TOUCH;
                 peer.is_live(self.now) && !hears
             })
     }
@@ -258,19 +258,19 @@
     /// When a leader was last heard that counted this instance among the peers that must hear it.
     fn in_touch_until(&self, old: &LeaderView) -> Option<CoreTime> {
         // On a site of many members a leader hears the far ones too seldom for that.
-        let counted = !self.has_many_members() || self.near.contains(&self.settings.address);
+        let counted = !self.has_many_members() || self.preferred.contains(&self.settings.address);
         let peer = self.peers.get(&old.address).filter(|_| counted)?;
         let lately = |at: &CoreTime| self.age(*at) < TOUCH_RELIED_ON;
         let mutual = peer.echo.is_mutual() && peer.echo.contact().as_ref().is_some_and(lately);
-        let same_life = peer.news.life == old.life;
+        let same_life = peer.heartbeat.life == old.life;
         peer.echo
-            .heard_at()
+            .last_contact()
             .filter(|at| mutual && same_life && lately(at))
     }
 
     /// Latest moment until which this leader may have workers hold what they run.
-    pub(super) fn hold_bound(&self) -> CoreTime {
-        let hold = self.hold_time();
+    pub(super) fn lease_bound(&self) -> CoreTime {
+        let hold = self.lease_duration();
         let Some(lead) = self.lead.as_deref() else {
             return self.now;
         };
@@ -278,7 +278,8 @@
         // Peers are gone through only where it is worth it: this is asked for each look and start.
         let fresh = self.age(lead.confirmed_at) < CERTAIN_LATELY;
         if !fresh
-            && (self.all_are_in_touch(lead.confirmed_at) || !self.keeps(SiteGuard::LeaderInTouch))
+            && (self.all_are_in_touch(lead.confirmed_at)
+                || !self.enforces(SiteGuard::LeaderInTouch))
         {
             self.now + hold
         } else {
@@ -304,7 +305,7 @@
     fn all_are_in_touch(&self, certain_at: CoreTime) -> bool {
         let since = certain_at.saturating_sub(TOUCH_MEMORY);
         let mut contacts = self.peers.iter().filter_map(|(address, peer)| {
-            let relies = !self.is_slow_pair(*address) && !peer.news.stopping;
+            let relies = !self.has_slow_heartbeat(*address) && !peer.heartbeat.stopping;
             peer.echo.contact().filter(|at| relies && *at >= since)
         });
         let Some(first) = contacts.next() else {
--- a/crates/bankvalve_queue/src/core/away.rs
+++ b/crates/bankvalve_queue/src/core/restart_deadline.rs
@@ -5,7 +5,7 @@
 //! up, and each may have passed under another leader. So the ledger tells since when a task has been
 //! away: an end is kept with the time of the last word of the run, not with that at which it was given
 //! up, and whoever leads reckons from there. A wait that is there for evidence alone, as a suspect's
-//! for its turn, ends when [`is_pressed`](EntryCore::is_pressed) says so.
+//! for its turn, ends when [`is_past_restart_deadline`](EntryCore::is_past_restart_deadline) says so.
 
 use std::time::Duration;
 
@@ -26,7 +26,7 @@
     ///
     /// **NOTE:** By the time of day, since no other clock is common to leaders. Where that has fallen
     /// since, the task counts as away for less, and its waits end by their own bounds.
-    pub(super) fn is_pressed(&self, spec: &StepSpec, task: &TaskRecord) -> bool {
+    pub(super) fn is_past_restart_deadline(&self, spec: &StepSpec, task: &TaskRecord) -> bool {
         let away = self.wall.saturating_sub(task.ended_at);
         let ran = task.ended_at > 0;
         spec.lasting && ran && Duration::from_millis(away) >= LONGEST_AWAY - START_TIME
@@ -36,15 +36,18 @@
     ///
     /// Of a worker that this leader has never heard nothing tells that it lived when the lead began: it
     /// may have been silent for as long as its hold.
-    pub(super) fn last_word_of(&self, id: &WorkerId, how: EndKind) -> WallMillis {
-        let seat = self.lead.as_deref().and_then(|lead| lead.seats.get(id));
+    pub(super) fn last_contact_with_run(&self, id: &WorkerId, how: EndKind) -> WallMillis {
+        let state = self
+            .lead
+            .as_deref()
+            .and_then(|lead| lead.worker_states.get(id));
         let lost = matches!(how, EndKind::Lost | EndKind::Crashed(_));
-        let Some(seat) = seat.filter(|_| lost) else {
+        let Some(state) = state.filter(|_| lost) else {
             return self.wall;
         };
-        let silent = match seat.heard_at {
+        let silent = match state.last_contact {
             Some(at) => self.age(at),
-            None => self.age(seat.known_at) + self.hold_time(),
+            None => self.age(state.known_at) + self.lease_duration(),
         };
         self.wall.saturating_sub(silent.as_millis() as u64)
     }
--- a/crates/bankvalve_queue/src/core/suspects.rs
+++ b/crates/bankvalve_queue/src/core/suspects.rs
@@ -14,15 +14,15 @@
 //! ended under one. A gang's suspects begin together, so that they may hold more; one that has waited too
 //! long for its turn or a free worker starts among others, and after a second end beside runs that are not
 //! new, which tells as much. A task that lasts waits only as long as
-//! [`is_pressed`](EntryCore::is_pressed) allows, which counts all of its waits.
+//! [`is_past_restart_deadline`](EntryCore::is_past_restart_deadline) allows, which counts all of its waits.
 
 use std::time::Duration;
 
 use super::commit::Effect;
 use super::incarnation::Incarnation;
-use super::lead::LeadState;
+use super::lead_state::LeadState;
 use super::live_run::{LiveRun, RunPhase};
-use super::seat::{LifeEnd, LossSpan, Seat};
+use super::worker_state::{LossWindow, ProcessEnd, WorkerState};
 use super::EntryCore;
 use crate::guard::SiteGuard;
 use crate::ids::{CoreTime, RunId, StepKey, TaskKey, WorkerId};
@@ -78,12 +78,12 @@
     worker: Incarnation,
     address: String,
     /// When, as far as is known.
-    span: LossSpan,
+    span: LossWindow,
 }
 
 /// What is known of a worker's end.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct SeatLoss {
+pub(super) struct LossFacts {
     /// Whether it has surely ended. One that is silent may be cut off, and run on: without a new life it is
     /// known only where its port refuses and its entry is gone.
     is_end: bool,
@@ -100,7 +100,7 @@
 
 /// How the suspects of a step that are to start stand.
 #[derive(Clone, Copy, Debug, Default)]
-pub(super) struct SuspectStand {
+pub(super) struct SuspectHistory {
     /// Whether a worker of one ended right after its start.
     young: bool,
     /// Whether one is never started beside others that are new.
@@ -111,7 +111,7 @@
     hurried: bool,
 }
 
-impl SuspectStand {
+impl SuspectHistory {
     /// Of tasks, each with whether it is in a hurry.
     pub(super) fn of<'a>(tasks: impl Iterator<Item = (&'a TaskRecord, bool)>) -> Self {
         let mut stand = Self::default();
@@ -119,8 +119,8 @@
             let Some(count) = task.crash_count() else {
                 continue;
             };
-            stand.young |= count.is_young();
-            stand.grave |= count.is_grave();
+            stand.young |= count.has_early_crash();
+            stand.grave |= count.must_be_isolated();
             stand.proven |= count.has_proof();
             stand.hurried |= hurried;
         }
@@ -130,74 +130,77 @@
 
 /// How a suspect may be started now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum TrialTurn {
+pub(super) enum TrialMode {
     /// Where nothing else runs.
-    Alone,
+    Isolated,
     /// Where nothing else that is new runs, and nothing new joins it: no worker became free in time.
-    Apart,
+    ApartFromNew,
     /// Among others, since it has waited for long enough.
-    Among,
+    AmongOthers,
     /// Not yet.
-    Later,
+    Deferred,
 }
 
 impl EntryCore {
     /// What is known of a worker's end, for what it tells against its runs.
-    pub(super) fn loss_of(&self, id: &WorkerId, end: LifeEnd) -> Option<SeatLoss> {
+    pub(super) fn loss_of(&self, id: &WorkerId, end: ProcessEnd) -> Option<LossFacts> {
         let lead = self.lead.as_deref()?;
-        let seat = lead.seats.get(id)?;
-        Some(lead.loss_of(id, seat, Some(end), self.now))
+        let state = lead.worker_states.get(id)?;
+        Some(lead.loss_of(id, state, Some(end), self.now))
     }
 
     /// How a run ended whose worker's life is over.
     pub(super) fn end_with_worker(
         &self,
-        seat: &Seat,
-        loss: &SeatLoss,
+        state: &WorkerState,
+        loss: &LossFacts,
         task: &TaskKey,
         live: &LiveRun,
     ) -> EndKind {
         if let Some(how) = live.ended_as {
             return how;
         }
-        if live.phase == RunPhase::Ordered && !live.may_have_begun() {
+        if live.phase == RunPhase::Ordered && !live.may_have_started() {
             return EndKind::NeverRan;
         }
         if let Some(evidence) = live.crash {
             return EndKind::Crashed(evidence);
         }
-        let evidence = self.crash_of(seat, loss, task, live);
+        let evidence = self.crash_of(state, loss, task, live);
         let evidence = evidence.filter(|_| loss.is_end);
         evidence.map_or(EndKind::Lost, EndKind::Crashed)
     }
 
     /// Keeps what is seen of a worker's end under runs that had just been started, once its port has refused
     /// for a while: they are given up only when its hold is over, and the leader may be lost before.
-    pub(super) fn keep_crashes(&mut self, id: &WorkerId) {
+    pub(super) fn propose_crash_evidence(&mut self, id: &WorkerId) {
         let now = self.now;
         let Some(lead) = self.lead.as_deref() else {
             return;
         };
-        let Some(seat) = lead.seats.get(id) else {
+        let Some(state) = lead.worker_states.get(id) else {
             return;
         };
-        let refused_for = seat.refused_at.map(|at| now.saturating_sub(at));
-        if seat.end_kept || !seat.refused || refused_for.is_none_or(|time| time < SEEN_TIME) {
+        let refused_for = state.refused_at.map(|at| now.saturating_sub(at));
+        if state.crash_evidence_proposed
+            || !state.refused
+            || refused_for.is_none_or(|time| time < SEEN_TIME)
+        {
             return;
         }
-        let loss = lead.loss_of(id, seat, None, now);
+        let loss = lead.loss_of(id, state, None, now);
         let seen = |(task, live): (&TaskKey, &LiveRun)| {
-            let evidence = self.crash_of(seat, &loss, task, live)?;
+            let evidence = self.crash_of(state, &loss, task, live)?;
             (evidence.weight != CrashWeight::Weak).then_some((*task, live.run, evidence))
         };
         let seen: Vec<(TaskKey, RunId, CrashEvidence)> =
-            seat.runs.iter().filter_map(seen).collect();
-        if let Some(seat) = self
+            state.runs.iter().filter_map(seen).collect();
+        if let Some(state) = self
             .lead
             .as_deref_mut()
-            .and_then(|lead| lead.seats.get_mut(id))
+            .and_then(|lead| lead.worker_states.get_mut(id))
         {
-            seat.end_kept = true;
+            state.crash_evidence_proposed = true;
         }
         for (task, run, evidence) in seen {
             let lead = self.lead.as_deref_mut();
@@ -217,26 +220,26 @@
     /// What a worker's end tells against a run, if it counts at all.
     fn crash_of(
         &self,
-        seat: &Seat,
-        loss: &SeatLoss,
+        state: &WorkerState,
+        loss: &LossFacts,
         task: &TaskKey,
         live: &LiveRun,
     ) -> Option<CrashEvidence> {
         let order = loss.over_at.zip(live.ordered_at);
         let had_ended = order.is_some_and(|(over, ordered)| over <= ordered);
-        let counts = live.may_have_begun()
+        let counts = live.may_have_started()
             && !had_ended
-            && !seat.left_as_planned()
-            && live.lived() < LONG_LIFE
-            && self.keeps(SiteGuard::CrashBudget);
-        counts.then(|| self.evidence_of(seat, loss, task, live))
+            && !state.left_as_announced()
+            && live.known_run_time() < LONG_LIFE
+            && self.enforces(SiteGuard::CrashBudget);
+        counts.then(|| self.evidence_of(state, loss, task, live))
     }
 
     /// What was seen of a worker's end under a run.
     fn evidence_of(
         &self,
-        seat: &Seat,
-        loss: &SeatLoss,
+        state: &WorkerState,
+        loss: &LossFacts,
         task: &TaskKey,
         live: &LiveRun,
     ) -> CrashEvidence {
@@ -248,7 +251,7 @@
         let alive_ms = live.listed_at.map_or(0, since_order);
         let over = loss.over_at.filter(|_| live.ordered_at.is_some());
         let over_ms = over.map(since_order);
-        let beside = seat
+        let beside = state
             .runs
             .iter()
             .filter(|(other, run)| *other != task && run.is_new(loss.at));
@@ -263,7 +266,7 @@
             (chance.min(1.0) * MILLION).ceil() as u32
         });
         let sole = beside == 0 && !loss.is_storm;
-        let guarded = self.keeps(SiteGuard::AloneEvidence);
+        let guarded = self.enforces(SiteGuard::AloneEvidence);
         let (sole, chance_ppm) = if guarded {
             (sole, chance_ppm)
         } else {
@@ -271,7 +274,7 @@
         };
         let within = |over: u32, life: Duration| u128::from(over) <= life.as_millis();
         // At a greater age only where nothing else ran at all, and as before.
-        let again = again.is_some_and(|span| span <= AGAIN_SPAN_MS) && seat.runs.len() == 1;
+        let again = again.is_some_and(|span| span <= AGAIN_SPAN_MS) && state.runs.len() == 1;
         let proof = |over: u32| {
             sole && confirmed
                 && chance_ppm <= PROOF_LIMIT_PPM
@@ -300,22 +303,23 @@
         let Some(lead) = self.lead.as_deref_mut() else {
             return;
         };
-        let Some(seat) = lead.seats.get_mut(id) else {
+        let Some(state) = lead.worker_states.get_mut(id) else {
             return;
         };
-        seat.over = true;
+        state.declared_lost = true;
         // One that this leader has not heard was lost before its time.
-        if !seat.proved || seat.is_ended_by_task() || held || seat.left_as_planned() {
+        if !state.token_accepted || state.is_crashed_by_task() || held || state.left_as_announced()
+        {
             return;
         }
-        let number = seat.number;
+        let number = state.number;
         let loss = WorkerLoss {
             worker: Incarnation {
                 worker: id.clone(),
                 number,
             },
-            address: seat.entry.address.clone(),
-            span: seat.lost_within(),
+            address: state.entry.address.clone(),
+            span: state.loss_window(),
         };
         lead.worker_losses.retain(|old| {
             let lately = now.saturating_sub(old.span.last) <= RATE_TIME;
@@ -325,14 +329,14 @@
     }
 
     /// How a suspect of a step may be started now.
-    pub(super) fn turn_of(&mut self, step: StepKey, stand: SuspectStand) -> TrialTurn {
-        self.note_room_wait(step);
+    pub(super) fn trial_mode(&mut self, step: StepKey, stand: SuspectHistory) -> TrialMode {
+        self.note_capacity_wait(step);
         let now = self.now;
         let Some(lead) = self.lead.as_deref_mut() else {
-            return TrialTurn::Later;
+            return TrialMode::Deferred;
         };
         lead.end_trials();
-        let waited = lead.room_waits.get(&step).copied().unwrap_or(now);
+        let waited = lead.capacity_waits.get(&step).copied().unwrap_or(now);
         let patience = if stand.young {
             YOUNG_PATIENCE
         } else {
@@ -346,36 +350,37 @@
         let calm_from = now.saturating_sub(CALM_TIME);
         let storm = || calm_from < lead.began_at || lead.is_common(lead.lost_since(calm_from, now));
         match (impatient, grave) {
-            (true, false) if among => TrialTurn::Among,
-            (true, _) => TrialTurn::Apart,
-            (false, _) if !lead.has_turn_for(step) => TrialTurn::Later,
-            (false, _) if stand.young && storm() => TrialTurn::Later,
-            (false, _) => TrialTurn::Alone,
+            (true, false) if among => TrialMode::AmongOthers,
+            (true, _) => TrialMode::ApartFromNew,
+            (false, _) if !lead.has_turn_for(step) => TrialMode::Deferred,
+            (false, _) if stand.young && storm() => TrialMode::Deferred,
+            (false, _) => TrialMode::Isolated,
         }
     }
 
     /// Lets others join the suspects of a worker that have run alone for long enough.
     pub(super) fn end_due_trials(&mut self, id: &WorkerId) {
         let lead = self.lead.as_deref().filter(|lead| !lead.trials.is_empty());
-        let Some(seat) = lead.and_then(|lead| lead.seats.get(id)) else {
+        let Some(state) = lead.and_then(|lead| lead.worker_states.get(id)) else {
             return;
         };
-        let due =
-            |task: &TaskKey, live: &LiveRun| live.on_trial && live.lived() >= self.trial_time(task);
-        let due: Vec<(TaskKey, TaskSize)> = seat
+        let due = |task: &TaskKey, live: &LiveRun| {
+            live.on_trial && live.known_run_time() >= self.trial_time(task)
+        };
+        let due: Vec<(TaskKey, TaskSize)> = state
             .runs
             .iter()
             .filter(|(task, live)| due(task, live))
-            .map(|(task, _)| (*task, self.room_of(*task)))
+            .map(|(task, _)| (*task, self.resources_of(*task)))
             .collect();
         let Some(lead) = self.lead.as_deref_mut() else {
             return;
         };
         for (task, room) in due {
-            if let Some(seat) = lead.seats.get_mut(id) {
-                seat.end_trial(&task, room);
+            if let Some(state) = lead.worker_states.get_mut(id) {
+                state.end_trial(&task, room);
             }
-            lead.stale = true;
+            lead.placement_due = true;
         }
     }
 
@@ -387,19 +392,21 @@
     }
 
     /// Room that a task takes by its step.
-    pub(super) fn room_of(&self, task: TaskKey) -> TaskSize {
+    pub(super) fn resources_of(&self, task: TaskKey) -> TaskSize {
         let job = self.book.job(task.step.job);
         let spec = job.and_then(|job| job.spec.steps.get(usize::from(task.step.step)));
-        spec.map(|spec| spec.room()).unwrap_or_default()
+        spec.map(|spec| spec.resources()).unwrap_or_default()
     }
 }
 
 impl LeadState {
     /// Forgets trials that are over.
     fn end_trials(&mut self) {
-        let seats = &self.seats;
+        let worker_states = &self.worker_states;
         self.trials.retain(|task, worker| {
-            let live = seats.of(worker).and_then(|seat| seat.runs.get(task));
+            let live = worker_states
+                .get_incarnation(worker)
+                .and_then(|state| state.runs.get(task));
             live.is_some_and(|live| live.on_trial)
         });
     }
@@ -408,28 +415,34 @@
     fn has_turn_for(&self, step: StepKey) -> bool {
         let of_step = |task: &TaskKey| task.step == step;
         let is_well = |worker: &Incarnation| {
-            let seat = self.seats.of(worker);
-            seat.is_some_and(|seat| !seat.refused)
+            let state = self.worker_states.get_incarnation(worker);
+            state.is_some_and(|state| !state.refused)
         };
         let tried = self
             .trials
             .values()
             .filter(|worker| is_well(worker))
             .count();
-        tried < (self.seats.len() / TRIAL_SHARE).max(1)
-            && self.trials.len() < (self.seats.len() / HELD_SHARE).max(2)
+        tried < (self.worker_states.len() / TRIAL_SHARE).max(1)
+            && self.trials.len() < (self.worker_states.len() / HELD_SHARE).max(2)
             && !self.trials.keys().any(of_step)
     }
 
     /// What is known of a worker's end.
-    fn loss_of(&self, id: &WorkerId, seat: &Seat, end: Option<LifeEnd>, now: CoreTime) -> SeatLoss {
-        let other_life = matches!(end, Some(LifeEnd::OtherLife | LifeEnd::Restarted));
-        let over_at = seat.refused_at.or(other_life.then_some(now));
-        let at = over_at.unwrap_or(seat.lost_within().last);
+    fn loss_of(
+        &self,
+        id: &WorkerId,
+        state: &WorkerState,
+        end: Option<ProcessEnd>,
+        now: CoreTime,
+    ) -> LossFacts {
+        let other_life = matches!(end, Some(ProcessEnd::OtherLife | ProcessEnd::Restarted));
+        let over_at = state.refused_at.or(other_life.then_some(now));
+        let at = over_at.unwrap_or(state.loss_window().last);
         let others = self.lost_beside(id, at, now);
-        let rate = self.loss_rate(&seat.entry.address, now);
-        SeatLoss {
-            is_end: other_life || (!seat.listed && seat.refused),
+        let rate = self.loss_rate(&state.entry.address, now);
+        LossFacts {
+            is_end: other_life || (!state.listed && state.refused),
             over_at,
             at,
             others,
@@ -440,26 +453,26 @@
 
     /// Workers that were lost with no suspect to themselves, with when: those that are over, and those that
     /// are silent now.
-    fn losses(&self, now: CoreTime) -> impl Iterator<Item = (&WorkerId, LossSpan)> {
+    fn losses(&self, now: CoreTime) -> impl Iterator<Item = (&WorkerId, LossWindow)> {
         let over = self
             .worker_losses
             .iter()
             .map(|loss| (&loss.worker.worker, loss.span));
-        let told = |id: &WorkerId, seat: &Seat| {
+        let told = |id: &WorkerId, state: &WorkerState| {
             let mut losses = self.worker_losses.iter().map(|loss| &loss.worker);
-            losses.any(|lost| lost.worker == *id && lost.number == seat.number)
+            losses.any(|lost| lost.worker == *id && lost.number == state.number)
         };
-        let silent = self.seats.iter().filter(move |(_, seat)| {
-            seat.is_lost(now) && !seat.is_ended_by_task() && !seat.left_as_planned()
+        let silent = self.worker_states.iter().filter(move |(_, state)| {
+            state.is_lost(now) && !state.is_crashed_by_task() && !state.left_as_announced()
         });
-        let silent = silent.filter(move |(id, seat)| !told(id, seat));
-        over.chain(silent.map(|(id, seat)| (id, seat.lost_within())))
+        let silent = silent.filter(move |(id, state)| !told(id, state));
+        over.chain(silent.map(|(id, state)| (id, state.loss_window())))
     }
 
     /// Other workers that were lost about when one was.
     fn lost_beside(&self, id: &WorkerId, at: CoreTime, now: CoreTime) -> usize {
         let (from, until) = (at.saturating_sub(COMMON_TIME), at + COMMON_TIME);
-        let near = |span: &LossSpan| span.first <= until && span.last >= from;
+        let near = |span: &LossWindow| span.first <= until && span.last >= from;
         let losses = self.losses(now);
         let others = losses.filter(|(other, span)| *other != id && near(span));
         others.count()
@@ -474,12 +487,12 @@
 
     /// Tells whether so many losses within a short time are too many to try a suspect.
     fn is_common(&self, others: usize) -> bool {
-        others >= (self.seats.len() / COMMON_SHARE).max(1)
+        others >= (self.worker_states.len() / COMMON_SHARE).max(1)
     }
 
     /// Tells whether so many were lost with a worker that nothing is asked of what ran there.
     fn is_storm(&self, others: usize) -> bool {
-        others >= (self.seats.len() / STORM_SHARE).max(STORM_LEAST)
+        others >= (self.worker_states.len() / STORM_SHARE).max(STORM_LEAST)
     }
 
     /// Losses in a second of one worker while others are lost at once.
@@ -487,7 +500,7 @@
         if others == 0 {
             return 0.0;
         }
-        let workers = self.seats.len().max(1) as f64;
+        let workers = self.worker_states.len().max(1) as f64;
         (others + 1) as f64 / ((COMMON_TIME * 2).as_secs_f64() * workers)
     }
 
@@ -497,7 +510,7 @@
         let led = now.saturating_sub(self.began_at);
         let time = led.clamp(LEAST_RATE_TIME, RATE_TIME);
         let lost = self.lost_since(now.saturating_sub(time), now) + 1;
-        let of_all = lost as f64 / (time.as_secs_f64() * self.seats.len().max(1) as f64);
+        let of_all = lost as f64 / (time.as_secs_f64() * self.worker_states.len().max(1) as f64);
         let here = self
             .worker_losses
             .iter()
--- a/crates/bankvalve_queue/src/core/task_waits.rs
+++ b/crates/bankvalve_queue/src/core/task_waits.rs
@@ -116,18 +116,18 @@
 /// Tasks that do not run though they did, by reason, as the leader last looked.
 #[derive(Clone, Debug, Default)]
 pub struct TaskWaits {
-    pub(super) unheard: [u64; WaitReason::ALL.len()],
+    pub(super) lost_contact: [u64; WaitReason::ALL.len()],
     pub(super) starts: [u64; StartWait::ALL.len()],
     /// Time since the worker was last heard of the task that waits longest for one that is not heard.
-    pub oldest_unheard: Option<Duration>,
+    pub oldest_lost_contact: Option<Duration>,
     /// Time since the run ended of the task that waits longest for its start.
     pub oldest_start: Option<Duration>,
 }
 
 impl TaskWaits {
     /// Tasks that wait for a worker that is not heard, for a reason.
-    pub fn unheard(&self, reason: WaitReason) -> u64 {
-        self.unheard[reason as usize]
+    pub fn lost_contact(&self, reason: WaitReason) -> u64 {
+        self.lost_contact[reason as usize]
     }
 
     /// Tasks whose run ended two seconds ago or more and that wait to start, for a reason.
@@ -144,12 +144,12 @@
     /// assert!(waits.quantities().all(|(_, tasks)| tasks == 0));
     /// ```
     pub fn quantities(&self) -> impl Iterator<Item = (&'static str, u64)> + '_ {
-        let unheard = WaitReason::ALL
+        let lost_contact = WaitReason::ALL
             .iter()
-            .map(|reason| (reason.quantity(), self.unheard(*reason)));
+            .map(|reason| (reason.quantity(), self.lost_contact(*reason)));
         let starts = StartWait::ALL
             .iter()
             .map(|reason| (reason.quantity(), self.starts(*reason)));
-        unheard.chain(starts)
+        lost_contact.chain(starts)
     }
 }
--- a/crates/bankvalve_queue/src/core/choosing.rs
+++ b/crates/bankvalve_queue/src/core/worker_selection.rs
@@ -4,10 +4,10 @@
 use std::collections::BTreeMap;
 
 use super::advice::{StepAdvice, ASK_LIMIT};
-use super::lead::LeadState;
+use super::lead_state::LeadState;
 use super::live_run::RunLoad;
-use super::placing::{Choice, PlacedStep};
-use super::seat::{HoldStop, Seat};
+use super::placement::{Assignment, StepToPlace};
+use super::worker_state::{LeaseStop, WorkerState};
 use crate::ids::{CoreTime, StepKey, WorkerId};
 use crate::job::TaskSize;
 
@@ -24,20 +24,24 @@
 const GANG_ASK_LEAST: usize = 100;
 
 /// Returns whether a worker is eligible for tasks of a step, whatever free capacity it has.
-pub(super) fn admits((id, seat): (&WorkerId, &Seat), step: &PlacedStep, now: CoreTime) -> bool {
+pub(super) fn is_eligible(
+    (id, state): (&WorkerId, &WorkerState),
+    step: &StepToPlace,
+    now: CoreTime,
+) -> bool {
     // Cheap checks that often fail come first, because this runs for all workers for each step.
-    let usable = seat.proved
-        && !seat.over
-        && seat.listed
-        && seat.has_own_entry()
-        && seat.usable
-        && seat.hold_stop == HoldStop::None
-        && !seat.entry.leaving
-        && (now >= seat.resting_until || step.pressed);
+    let usable = state.token_accepted
+        && !state.declared_lost
+        && state.listed
+        && state.entry_is_current()
+        && state.entry_readable
+        && state.lease_stop == LeaseStop::None
+        && !state.entry.leaving
+        && (now >= state.backoff_until || step.past_deadline);
     if !usable
         || step.tried_on.contains(id)
-        || !step.room.fits(&seat.entry.room)
-        || !seat.is_lively(now)
+        || !step.resources.fits(&state.entry.room)
+        || !state.is_responsive(now)
     {
         return false;
     }
@@ -45,61 +49,73 @@
         .spec
         .required_label
         .as_ref()
-        .is_none_or(|label| seat.entry.labels.contains(label));
-    label && seat.entry.service == step.service && !seat.is_disturbed_by(RunLoad::of(&step.spec))
+        .is_none_or(|label| state.entry.labels.contains(label));
+    label
+        && state.entry.service == step.service
+        && !state.has_conflicting_run(RunLoad::of(&step.spec))
 }
 
 /// Returns all workers that are eligible for tasks of a step.
-pub(super) fn admitting<'a>(
+pub(super) fn eligible_workers<'a>(
     lead: &'a LeadState,
-    step: &PlacedStep,
+    step: &StepToPlace,
     now: CoreTime,
-) -> Vec<(&'a WorkerId, &'a Seat)> {
-    let seats = lead.seats.iter();
-    seats.filter(|entry| admits(*entry, step, now)).collect()
+) -> Vec<(&'a WorkerId, &'a WorkerState)> {
+    let worker_states = lead.worker_states.iter();
+    worker_states
+        .filter(|entry| is_eligible(*entry, step, now))
+        .collect()
 }
 
 /// Returns how many tasks of a step a worker has.
-pub(super) fn held_of(seat: &Seat, step: StepKey) -> usize {
+pub(super) fn tasks_on(state: &WorkerState, step: StepKey) -> usize {
     let first = step.task(0);
     let last = step.task(u32::MAX);
-    seat.runs.range(first..=last).count()
+    state.runs.range(first..=last).count()
 }
 
 /// Selects workers for as many tasks as fit; for a gang, for all tasks or none.
-pub(super) fn choose(step: &PlacedStep, seats: &[(&WorkerId, &Seat)], now: CoreTime) -> Choice {
+pub(super) fn choose(
+    step: &StepToPlace,
+    worker_states: &[(&WorkerId, &WorkerState)],
+    now: CoreTime,
+) -> Assignment {
     if step.spec.gang && step.spec.same_rack {
-        let choice = choose_on_one_rack(step, seats, now);
+        let choice = choose_on_one_rack(step, worker_states, now);
         if !choice.is_empty() {
             return choice;
         }
     }
-    choose_among(step, seats, now)
+    choose_among(step, worker_states, now)
 }
 
-fn choose_on_one_rack(step: &PlacedStep, seats: &[(&WorkerId, &Seat)], now: CoreTime) -> Choice {
-    let mut racks: BTreeMap<&str, Vec<(&WorkerId, &Seat)>> = BTreeMap::new();
-    for (id, seat) in seats {
-        if let Some(rack) = rack_of(seat) {
-            racks.entry(rack).or_default().push((*id, *seat));
+fn choose_on_one_rack(
+    step: &StepToPlace,
+    worker_states: &[(&WorkerId, &WorkerState)],
+    now: CoreTime,
+) -> Assignment {
+    let mut racks: BTreeMap<&str, Vec<(&WorkerId, &WorkerState)>> = BTreeMap::new();
+    for (id, state) in worker_states {
+        if let Some(rack) = rack_of(state) {
+            racks.entry(rack).or_default().push((*id, *state));
         }
     }
     let whole = racks
         .values()
-        .map(|seats| choose_among(step, seats, now))
+        .map(|worker_states| choose_among(step, worker_states, now))
         .find(|choice| !choice.is_empty());
     whole.unwrap_or_default()
 }
 
 /// Returns the rack of a worker, which is its last label.
-fn rack_of(seat: &Seat) -> Option<&str> {
-    seat.entry.labels.last().map(String::as_str)
+fn rack_of(state: &WorkerState) -> Option<&str> {
+    state.entry.labels.last().map(String::as_str)
 }
 
 /// An eligible worker, with its capacity after the assignments made so far.
 struct Candidate<'a> {
     id: &'a WorkerId,
-    seat: &'a Seat,
+    state: &'a WorkerState,
     room: TaskSize,
     held: usize,
     near: bool,
@@ -110,16 +126,16 @@
 }
 
 impl<'a> Candidate<'a> {
-    fn new(id: &'a WorkerId, seat: &'a Seat, step: &PlacedStep, now: CoreTime) -> Self {
+    fn new(id: &'a WorkerId, state: &'a WorkerState, step: &StepToPlace, now: CoreTime) -> Self {
         let rack = step.spec.data_rack.as_ref();
         Self {
             id,
-            seat,
-            room: seat.room_for(step.key, now),
-            held: held_of(seat, step.key),
-            near: rack.is_some_and(|rack| seat.entry.labels.contains(rack)),
-            rests: now < seat.resting_until,
-            slow: (seat.slowness / SLOWNESS_STEP).round() as i64,
+            state,
+            room: state.free_for(step.key, now),
+            held: tasks_on(state, step.key),
+            near: rack.is_some_and(|rack| state.entry.labels.contains(rack)),
+            rests: now < state.backoff_until,
+            slow: (state.slowness / SLOWNESS_STEP).round() as i64,
         }
     }
 
@@ -135,37 +151,41 @@
     /// 4. Workers near the step's data.
     /// 5. For urgent steps, fast workers.
     /// 6. Workers with the least CPU left after the assignment.
-    fn rank(&self, step: &PlacedStep) -> (bool, u64, bool, Reverse<bool>, i64, u64) {
-        let left = self.room.minus(&step.room).millicores;
+    fn rank(&self, step: &StepToPlace) -> (bool, u64, bool, Reverse<bool>, i64, u64) {
+        let left = self.room.minus(&step.resources).millicores;
         let slow = if step.fast_first { self.slow } else { 0 };
         let known = if step.has_trials() {
-            self.seat.known_at.as_secs()
+            self.state.known_at.as_secs()
         } else {
             0
         };
-        let failed = step.proved_first && self.seat.failed_last();
+        let failed = step.healthy_first && self.state.last_run_failed();
         (self.rests, known, failed, Reverse(self.near), slow, left)
     }
 }
 
-fn choose_among(step: &PlacedStep, seats: &[(&WorkerId, &Seat)], now: CoreTime) -> Choice {
+fn choose_among(
+    step: &StepToPlace,
+    worker_states: &[(&WorkerId, &WorkerState)],
+    now: CoreTime,
+) -> Assignment {
     let limit = step.worker_limit();
-    let mut free: Vec<Candidate<'_>> = seats
+    let mut free: Vec<Candidate<'_>> = worker_states
         .iter()
-        .map(|(id, seat)| Candidate::new(id, seat, step, now))
-        .filter(|candidate| candidate.takes(&step.room_on(candidate.seat), limit))
+        .map(|(id, state)| Candidate::new(id, state, step, now))
+        .filter(|candidate| candidate.takes(&step.resources_on(candidate.state), limit))
         .collect();
     let mut choice = Vec::new();
     for task in &step.tasks {
         let best = free
             .iter_mut()
-            .filter(|candidate| candidate.takes(&step.room_of(task, candidate.seat), limit))
-            .filter(|candidate| step.may_join(task, candidate.seat, now))
+            .filter(|candidate| candidate.takes(&step.resources_of(task, candidate.state), limit))
+            .filter(|candidate| step.may_join(task, candidate.state, now))
             .min_by_key(|candidate| candidate.rank(step));
         let Some(best) = best else {
             break;
         };
-        best.room = best.room.minus(&step.room_of(task, best.seat));
+        best.room = best.room.minus(&step.resources_of(task, best.state));
         best.held += 1;
         choice.push((*task, best.id.clone()));
     }
@@ -175,7 +195,7 @@
     choice
 }
 
-pub(super) fn workers_of(choice: &Choice) -> Vec<WorkerId> {
+pub(super) fn workers_of(choice: &Assignment) -> Vec<WorkerId> {
     let mut workers: Vec<WorkerId> = choice.iter().map(|(_, worker)| worker.clone()).collect();
     workers.sort_unstable();
     workers.dedup();
@@ -184,16 +204,16 @@
 }
 
 /// Returns the workers for a step's first advice request: those with the most free capacity.
-pub(super) fn first_question(
-    step: &PlacedStep,
-    seats: &[(&WorkerId, &Seat)],
+pub(super) fn first_advice_request(
+    step: &StepToPlace,
+    worker_states: &[(&WorkerId, &WorkerState)],
     now: CoreTime,
 ) -> Vec<WorkerId> {
-    most_room(step, seats, wanted_workers(step), now)
+    workers_with_most_free(step, worker_states, wanted_workers(step), now)
 }
 
 /// Returns how many workers an advice request for a step covers.
-fn wanted_workers(step: &PlacedStep) -> usize {
+fn wanted_workers(step: &StepToPlace) -> usize {
     let wanted = step.tasks.len() * ASK_PER_TASK;
     if step.spec.gang {
         wanted.clamp(GANG_ASK_LEAST, ASK_LIMIT)
@@ -204,19 +224,19 @@
 
 /// Returns up to `wanted` workers, those with the most free CPU first. For a step that prefers workers whose
 /// last run did not fail, these come before all others.
-pub(super) fn most_room(
-    step: &PlacedStep,
-    seats: &[(&WorkerId, &Seat)],
+pub(super) fn workers_with_most_free(
+    step: &StepToPlace,
+    worker_states: &[(&WorkerId, &WorkerState)],
     wanted: usize,
     now: CoreTime,
 ) -> Vec<WorkerId> {
-    let room = |seat: &Seat| {
-        let failed = step.proved_first && seat.failed_last();
-        (failed, Reverse(seat.room_for(step.key, now).millicores))
+    let room = |state: &WorkerState| {
+        let failed = step.healthy_first && state.last_run_failed();
+        (failed, Reverse(state.free_for(step.key, now).millicores))
     };
-    let rooms = seats.iter().enumerate();
+    let rooms = worker_states.iter().enumerate();
     let mut by_room: Vec<_> = rooms
-        .map(|(place, (_, seat))| (room(seat), place))
+        .map(|(place, (_, state))| (room(state), place))
         .collect();
     if wanted < by_room.len() {
         by_room.select_nth_unstable(wanted);
@@ -225,23 +245,26 @@
     by_room.sort_unstable();
     by_room
         .into_iter()
-        .map(|(_, place)| seats[place].0.clone())
+        .map(|(_, place)| worker_states[place].0.clone())
         .collect()
 }
 
 /// Returns eligible workers with enough free capacity about which the policy service has not answered yet.
-pub(super) fn unknown_with_room(
+pub(super) fn unasked_with_capacity(
     lead: &LeadState,
-    step: &PlacedStep,
+    step: &StepToPlace,
     advice: &StepAdvice,
     now: CoreTime,
 ) -> Vec<WorkerId> {
-    let has_room = |seat: &Seat| step.room_on(seat).fits(&seat.room_for(step.key, now));
-    let seats: Vec<(&WorkerId, &Seat)> = lead
-        .seats
+    let has_room = |state: &WorkerState| {
+        step.resources_on(state)
+            .fits(&state.free_for(step.key, now))
+    };
+    let worker_states: Vec<(&WorkerId, &WorkerState)> = lead
+        .worker_states
         .iter()
-        .filter(|(id, seat)| has_room(seat) && admits((id, seat), step, now))
+        .filter(|(id, state)| has_room(state) && is_eligible((id, state), step, now))
         .filter(|(id, _)| !advice.is_known(id))
         .collect();
-    most_room(step, &seats, wanted_workers(step), now)
+    workers_with_most_free(step, &worker_states, wanted_workers(step), now)
 }
