--- a/crates/bankvalve_queue/src/core/advice.rs
+++ b/crates/bankvalve_queue/src/core/advice.rs
@@ -24,32 +24,32 @@
 
 /// Maximum number of workers to request advice about for a step at once, over all parts of the request. The
 /// policy service accepts a hundred in one request.
-pub(super) const ASK_LIMIT: usize = 300;
+pub(super) const MAX_ADVICE_WORKERS: usize = 300;
 /// Minimum number of workers in a part of a request that is split.
-const PART: usize = 40;
+const MIN_PART_WORKERS: usize = 40;
 /// Maximum number of workers in one request.
-const PART_MOST: usize = 100;
+const MAX_PART_WORKERS: usize = 100;
 /// Number of idle advisers for each part of a request. Splitting costs the service more in total, so requests
 /// have fewer parts as advisers become busy. When a request could use a quarter of the idle advisers, batches
 /// whose requests wait behind earned 0.80 instead of 1.00 of their value in a backlog.
-const ADVISER_SHARE: usize = 12;
+const IDLE_ADVISERS_PER_PART: usize = 12;
 /// Time before its expiry from which a permit is not used, because the start order needs time to arrive and
 /// may be repeated. The time to commit the start comes in addition.
 const PERMIT_MARGIN: Duration = Duration::from_millis(200);
 /// Duration above which a request is long. Long requests go to some of the instances only, so that short ones
 /// do not wait.
-const LONG_QUESTION: Duration = Duration::from_millis(60);
+const LONG_REQUEST: Duration = Duration::from_millis(60);
 /// Time for the round trip of a request and its answer.
-const ASK_SLACK: Duration = Duration::from_millis(6);
+const REQUEST_ROUND_TRIP: Duration = Duration::from_millis(6);
 /// Time after which a request is abandoned if its answer has not come when expected.
-const ASK_TIMEOUT: Duration = Duration::from_millis(900);
+const LATE_ANSWER_TIMEOUT: Duration = Duration::from_millis(900);
 /// Time between two checks for requests without an answer.
-const ADVICE_SCAN: Duration = Duration::from_millis(20);
+const TIMEOUT_SCAN_INTERVAL: Duration = Duration::from_millis(20);
 /// Longest backlog of requests of an instance, in time, to which another request is added. Capacity stays
 /// reserved until a request is answered, so a long backlog reserves it for permits that come too late.
-const ASK_AHEAD: Duration = Duration::from_secs(4);
+const MAX_ADVISER_BACKLOG: Duration = Duration::from_secs(4);
 /// Time before the next request for a step after the policy service answered that it is busy.
-const ASK_PAUSE: Duration = Duration::from_millis(200);
+const BUSY_RETRY_DELAY: Duration = Duration::from_millis(200);
 
 /// A permit to run the step on one worker.
 #[derive(Clone, Debug)]
@@ -60,7 +60,7 @@
 
 /// An advice request in flight.
 #[derive(Debug)]
-struct AdviceFlight {
+struct InFlightAdvice {
     ticket: Ticket,
     adviser: PeerAddress,
     asked: Vec<WorkerId>,
@@ -73,14 +73,16 @@
 /// What the policy service has answered for one step.
 #[derive(Debug, Default)]
 pub(super) struct StepAdvice {
+    /// Workers that may run the step, each with its last permit.
     good: BTreeMap<WorkerId, Permit>,
-    known: BTreeSet<WorkerId>,
-    flights: Vec<AdviceFlight>,
+    /// Workers about which the service has answered.
+    answered: BTreeSet<WorkerId>,
+    in_flight: Vec<InFlightAdvice>,
     retry_at: CoreTime,
 }
 
 impl StepAdvice {
-    pub(super) fn is_good(&self, worker: &WorkerId) -> bool {
+    pub(super) fn is_allowed(&self, worker: &WorkerId) -> bool {
         self.good.contains_key(worker)
     }
 
@@ -98,7 +100,7 @@
     }
 
     pub(super) fn is_known(&self, worker: &WorkerId) -> bool {
-        self.known.contains(worker)
+        self.answered.contains(worker)
     }
 
     /// Returns the permit for a worker if it is valid beyond a time.
@@ -107,29 +109,29 @@
         (permit.until > until).then_some(permit.text.as_str())
     }
 
-    pub(super) fn can_ask(&self, now: CoreTime) -> bool {
-        self.flights.is_empty() && now >= self.retry_at
+    pub(super) fn can_send_request(&self, now: CoreTime) -> bool {
+        self.in_flight.is_empty() && now >= self.retry_at
     }
 
-    /// Returns whether another request may be sent, regardless of those in flight.
+    /// Returns whether the delay after a busy answer has passed, regardless of requests in flight.
     pub(super) fn may_retry(&self, now: CoreTime) -> bool {
         now >= self.retry_at
     }
 
     /// Returns whether a request about a worker is in flight.
     pub(super) fn is_asked(&self, worker: &WorkerId) -> bool {
-        let mut flights = self.flights.iter();
-        flights.any(|flight| flight.asked.contains(worker))
+        let mut in_flight = self.in_flight.iter();
+        in_flight.any(|request| request.asked.contains(worker))
     }
 
     /// Returns whether a request is in flight about workers of which nothing is known.
     pub(super) fn explores(&self) -> bool {
-        let mut asked = self.flights.iter().flat_map(|flight| &flight.asked);
-        asked.any(|worker| !self.known.contains(worker))
+        let mut asked = self.in_flight.iter().flat_map(|request| &request.asked);
+        asked.any(|worker| !self.answered.contains(worker))
     }
 
-    pub(super) fn is_new(&self) -> bool {
-        self.known.is_empty()
+    pub(super) fn has_no_answer(&self) -> bool {
+        self.answered.is_empty()
     }
 }
 
@@ -142,20 +144,22 @@
         rule: AdviceRule,
         workers: &[WorkerId],
     ) -> CoreTime {
-        let part = self.part_of_question(rule, workers.len());
+        let part = self.part_size(rule, workers.len());
         let parts = workers.chunks(part);
-        let expected = parts.map(|part| self.ask_part(step, rule, part.to_vec()));
+        let expected = parts.map(|part| self.request_part(step, rule, part.to_vec()));
         expected.max().unwrap_or(self.now)
     }
 
     /// Returns how many workers go into each part of a request. Parts are small if the request would take
-    /// long and idle instances can share it.
-    fn part_of_question(&self, rule: AdviceRule, workers: usize) -> usize {
-        if rule.time_for(workers) <= LONG_QUESTION {
-            return PART_MOST;
+    /// long and idle advisers can share it.
+    fn part_size(&self, rule: AdviceRule, workers: usize) -> usize {
+        if rule.time_for(workers) <= LONG_REQUEST {
+            return MAX_PART_WORKERS;
         }
-        let parts = (self.idle_advisers() / ADVISER_SHARE).max(1);
-        workers.div_ceil(parts).clamp(PART, PART_MOST)
+        let parts = (self.idle_advisers() / IDLE_ADVISERS_PER_PART).max(1);
+        workers
+            .div_ceil(parts)
+            .clamp(MIN_PART_WORKERS, MAX_PART_WORKERS)
     }
 
     /// Returns the number of live peers that are estimated to have no request pending.
@@ -172,27 +176,32 @@
         peers.filter(|(address, _)| !is_busy(address)).count()
     }
 
-    fn ask_part(&mut self, step: StepKey, rule: AdviceRule, workers: Vec<WorkerId>) -> CoreTime {
+    fn request_part(
+        &mut self,
+        step: StepKey,
+        rule: AdviceRule,
+        workers: Vec<WorkerId>,
+    ) -> CoreTime {
         let now = self.now;
-        let takes = rule.time_for(workers.len());
-        let adviser = self.choose_adviser(takes);
+        let duration = rule.time_for(workers.len());
+        let adviser = self.choose_adviser(duration);
         let ticket = self.take_ticket();
         let own = self.settings.address;
         let Some(lead) = self.lead.as_deref_mut() else {
             return now;
         };
         let busy = lead.adviser_busy.entry(adviser).or_insert(now);
-        *busy = (*busy).max(now) + takes + ASK_SLACK;
-        let until = *busy + ASK_TIMEOUT;
+        *busy = (*busy).max(now) + duration + REQUEST_ROUND_TRIP;
+        let until = *busy + LATE_ANSWER_TIMEOUT;
         let expected = *busy;
         let time = until.saturating_sub(now);
         let advice = lead.advice.entry(step).or_default();
-        advice.flights.push(AdviceFlight {
+        advice.in_flight.push(InFlightAdvice {
             ticket,
             adviser,
             asked: workers.clone(),
             expected,
-            long: takes > LONG_QUESTION,
+            long: duration > LONG_REQUEST,
             until,
         });
         let ask = AdviceRequest {
@@ -201,7 +210,7 @@
             time,
         };
         self.counters.count("calls", "advice");
-        if takes > LONG_QUESTION {
+        if duration > LONG_REQUEST {
             let detail = format!(
                 "{} workers through {adviser}, answer expected after {:?}",
                 ask.workers.len(),
@@ -219,7 +228,7 @@
 
     /// Returns the instance that is expected to answer first. Long requests leave a third of the instances
     /// free.
-    fn choose_adviser(&self, takes: Duration) -> PeerAddress {
+    fn choose_adviser(&self, duration: Duration) -> PeerAddress {
         let own = self.settings.address;
         let mut advisers: Vec<PeerAddress> = self
             .live_peers()
@@ -229,8 +238,8 @@
         advisers.sort_unstable();
         advisers.push(own);
         let short_only = advisers.len().div_ceil(3);
-        let spare = self.uses(PolicySwitch::ShortQuestions);
-        if spare && takes > LONG_QUESTION && advisers.len() > short_only {
+        let keeps_some_free = self.uses(PolicySwitch::ShortQuestions);
+        if keeps_some_free && duration > LONG_REQUEST && advisers.len() > short_only {
             advisers.truncate(advisers.len() - short_only);
         }
         let now = self.now;
@@ -239,21 +248,21 @@
             let until = lead.and_then(|lead| lead.adviser_busy.get(address).copied());
             until.unwrap_or(now).max(now)
         };
-        let from_own = |address: &PeerAddress| u8::from(*address != own);
+        let is_remote = |address: &PeerAddress| u8::from(*address != own);
         advisers
             .iter()
             .copied()
-            .min_by_key(|address| (busy(address), from_own(address)))
+            .min_by_key(|address| (busy(address), is_remote(address)))
             .unwrap_or(own)
     }
 
-    /// Returns whether an instance has a backlog short enough for another request.
-    pub(super) fn has_adviser_soon(&self, rule: AdviceRule, workers: usize) -> bool {
-        let takes = rule.time_for(workers.min(PART));
-        let adviser = self.choose_adviser(takes);
+    /// Returns whether the backlog of some instance is short enough for another request.
+    pub(super) fn has_available_adviser(&self, rule: AdviceRule, workers: usize) -> bool {
+        let duration = rule.time_for(workers.min(MIN_PART_WORKERS));
+        let adviser = self.choose_adviser(duration);
         let busy = self.lead.as_deref().map(|lead| &lead.adviser_busy);
         let until = busy.and_then(|busy| busy.get(&adviser));
-        until.is_none_or(|until| *until <= self.now + ASK_AHEAD)
+        until.is_none_or(|until| *until <= self.now + MAX_ADVISER_BACKLOG)
     }
 
     /// Sends an advice request of the leader to the policy service.
@@ -280,39 +289,39 @@
         let Some(lead) = self.lead.as_deref_mut() else {
             return;
         };
-        let place = |advice: &StepAdvice| {
-            let mut flights = advice.flights.iter();
-            flights.position(|flight| flight.ticket == ticket)
+        let position_of = |advice: &StepAdvice| {
+            let mut in_flight = advice.in_flight.iter();
+            in_flight.position(|request| request.ticket == ticket)
         };
         let mut all = lead.advice.iter_mut();
-        let found = all.find_map(|(step, advice)| Some((*step, place(advice)?, advice)));
-        let Some((step, place, advice)) = found else {
+        let matching = all.find_map(|(step, advice)| Some((*step, position_of(advice)?, advice)));
+        let Some((step, position, advice)) = matching else {
             return;
         };
-        let flight = advice.flights.swap_remove(place);
+        let request = advice.in_flight.swap_remove(position);
         lead.placement_due = true;
-        let kind = match &answer {
+        let result = match &answer {
             AdviceAnswer::Good { permits, .. } => {
                 format!(
                     "{} of {} workers may run it",
                     permits.len(),
-                    flight.asked.len()
+                    request.asked.len()
                 )
             }
             other => format!("{other:?}"),
         };
-        let late = now.saturating_sub(flight.expected);
+        let late = now.saturating_sub(request.expected);
         match answer {
             AdviceAnswer::Good { permits, valid_ms } => {
                 let valid = Duration::from_millis(valid_ms).saturating_sub(PERMIT_MARGIN);
-                advice.known.extend(flight.asked);
+                advice.answered.extend(request.asked);
                 for (worker, text) in permits {
                     let until = now + valid;
                     advice.good.insert(worker, Permit { text, until });
                 }
             }
             AdviceAnswer::Busy => {
-                advice.retry_at = now + ASK_PAUSE;
+                advice.retry_at = now + BUSY_RETRY_DELAY;
                 self.counters.count("retries", "advice_busy");
             }
             AdviceAnswer::NoReply => {
@@ -320,12 +329,12 @@
                 self.counters.count("retries", "advice_unanswered");
             }
         }
-        if flight.long {
+        if request.long {
             self.log(
                 "advice",
                 "answer",
                 step.to_string(),
-                format!("{kind}, {late:?} after the expected time"),
+                format!("{result}, {late:?} after the expected time"),
             );
         }
     }
@@ -361,9 +370,9 @@
         };
         lead.adviser_busy.remove(&peer);
         for advice in lead.advice.values_mut() {
-            let before = advice.flights.len();
-            advice.flights.retain(|flight| flight.adviser != peer);
-            lead.placement_due |= advice.flights.len() < before;
+            let before = advice.in_flight.len();
+            advice.in_flight.retain(|request| request.adviser != peer);
+            lead.placement_due |= advice.in_flight.len() < before;
         }
     }
 
@@ -376,20 +385,23 @@
         if now < lead.next_advice_scan {
             return;
         }
-        lead.next_advice_scan = now + ADVICE_SCAN;
-        let mut lost = Vec::new();
+        lead.next_advice_scan = now + TIMEOUT_SCAN_INTERVAL;
+        let mut late_advisers = Vec::new();
         for advice in lead.advice.values_mut() {
-            let flights = advice.flights.iter().filter(|flight| now > flight.until);
-            lost.extend(flights.map(|flight| flight.adviser));
-            advice.flights.retain(|flight| now <= flight.until);
+            let expired = advice
+                .in_flight
+                .iter()
+                .filter(|request| now > request.until);
+            late_advisers.extend(expired.map(|request| request.adviser));
+            advice.in_flight.retain(|request| now <= request.until);
         }
-        lead.placement_due |= !lost.is_empty();
+        lead.placement_due |= !late_advisers.is_empty();
         self.counters
-            .count_many("retries", "advice_unanswered", lost.len() as u64);
-        // The backlog of the instance may be longer than estimated, by requests of a previous leader. It
-        // would never shrink if each abandoned request were replaced by a new one there.
-        let free_at = now + ASK_AHEAD + ASK_TIMEOUT;
-        for adviser in lost {
+            .count_many("retries", "advice_unanswered", late_advisers.len() as u64);
+        // The backlog of the instance may be longer than estimated, for example because of requests of a
+        // previous leader. It would never shrink if each abandoned request were replaced by a new one there.
+        let free_at = now + MAX_ADVISER_BACKLOG + LATE_ANSWER_TIMEOUT;
+        for adviser in late_advisers {
             let busy = lead.adviser_busy.entry(adviser).or_insert(free_at);
             *busy = (*busy).max(free_at);
         }
--- a/crates/bankvalve_queue/src/core/capacity_reclaim.rs
+++ b/crates/bankvalve_queue/src/core/capacity_reclaim.rs
@@ -20,36 +20,36 @@
 use crate::policy::PolicySwitch;
 
 /// Wait after which capacity is reclaimed for an urgent step: about the time of one placement.
-const URGENT_WAIT: Duration = Duration::from_millis(60);
+const URGENT_RECLAIM_DELAY: Duration = Duration::from_millis(60);
 /// Wait after which capacity is reclaimed for any other step: about the time of a short task.
-const WAIT: Duration = Duration::from_millis(800);
+const RECLAIM_DELAY: Duration = Duration::from_millis(800);
 /// Number of capacity claims up to which a step that is not urgent may always add one. Reserved capacity is
 /// unused for a while.
-const MOST_WAITING: usize = 2;
+const MIN_CLAIMS: usize = 2;
 /// Percentage of all capacity up to which such a step may add a claim if there are more. On a site of a
 /// thousand workers that receives about eight gangs of 40 each second, two claims leave it to chance whether
 /// the other gangs find capacity. 22 claims left a quarter of the capacity unused, and later batches earned
 /// 0.72 instead of 1.00 of their value.
-const KEPT_PERCENT: u64 = 4;
+const MAX_RESERVED_PERCENT: u64 = 4;
 /// Time before capacity is planned again for a step for which it could not be: a plan covers all workers.
-const PLAN_PAUSE: Duration = Duration::from_millis(250);
+const PLAN_RETRY_DELAY: Duration = Duration::from_millis(250);
 /// Maximum number of tasks of a step for which capacity is reclaimed at once. Gangs are exempt, because they
 /// cannot start with less than all members: under this limit, one of 20 members waited for 35 s until the
 /// small tasks around it had ended; without the limit, it waits for less than 6 s.
-const MOST_TASKS: usize = 12;
+const MAX_TASKS_AT_ONCE: usize = 12;
 /// Usual time from the order to stop a run until its resources are free.
 const STOP_TIME: Duration = Duration::from_millis(300);
 /// Time for which capacity is reserved at once.
-const KEEP_TIME: Duration = Duration::from_millis(1_200);
+const RESERVE_TIME: Duration = Duration::from_millis(1_200);
 /// Remaining time of a reservation from which it is extended on the same workers. Otherwise other steps would
 /// take at once what has become free of it.
-const KEEP_ON: Duration = Duration::from_millis(300);
+const RESERVE_EXTEND_AHEAD: Duration = Duration::from_millis(300);
 /// Maximum time until capacity becomes free for which it is reserved.
-const LONGEST_WAIT: Duration = Duration::from_millis(5_000);
+const MAX_CAPACITY_WAIT: Duration = Duration::from_millis(5_000);
 /// Time that a step which is not urgent waits for runs to end before it has a run stopped.
-const PATIENCE: Duration = Duration::from_millis(700);
+const WAIT_BEFORE_STOP: Duration = Duration::from_millis(700);
 /// Maximum number of times that a task is stopped for other steps, so that it can finish.
-const MOST_STOPS: u32 = 3;
+const MAX_STOPS: u32 = 3;
 /// Weight of an accelerator in millicores when runs to stop are selected. The platform uses the same figure.
 const ACCELERATOR_WEIGHT: u64 = 8_000;
 
@@ -89,13 +89,13 @@
 
 /// A plan for one task, ordered by when plans are selected.
 struct PlannedTask {
-    place: usize,
+    worker_index: usize,
     plan: CapacityPlan,
 }
 
 impl PlannedTask {
     fn rank(&self) -> (Duration, u64, usize) {
-        (self.plan.after, self.plan.weight, self.place)
+        (self.plan.after, self.plan.weight, self.worker_index)
     }
 }
 
@@ -123,14 +123,14 @@
 struct PlannedWorker<'a> {
     id: &'a WorkerId,
     state: &'a WorkerState,
-    /// Capacity that is free or that the plans made so far free.
-    room: TaskSize,
+    /// Free capacity, including what the plans made so far will free.
+    free: TaskSize,
     /// Part of it that is reserved for other steps or used by the plans made so far. It may be more than is
     /// free yet. When it counted as free, a worker was idle for 6 s: two steps waited for the same capacity,
     /// each blocked by the reservation of the other.
-    taken: TaskSize,
-    gone: Vec<TaskKey>,
-    held: usize,
+    unavailable: TaskSize,
+    used_runs: Vec<TaskKey>,
+    tasks_held: usize,
 }
 
 impl EntryCore {
@@ -147,7 +147,11 @@
             return false;
         }
         let urgent = step.is_some_and(|step| step.is_urgent());
-        let wait = if urgent { URGENT_WAIT } else { WAIT };
+        let wait = if urgent {
+            URGENT_RECLAIM_DELAY
+        } else {
+            RECLAIM_DELAY
+        };
         self.uses(PolicySwitch::Preemption) && self.age(*since) >= wait
     }
 
@@ -187,44 +191,45 @@
         let Some(lead) = self.lead.as_deref() else {
             return;
         };
-        let kept = |state: &WorkerState| state.has_reservation_for(key, now);
-        if lead.worker_states.values().any(kept) {
-            self.keep_on(key);
+        let has_reservation = |state: &WorkerState| state.has_reservation_for(key, now);
+        if lead.worker_states.values().any(has_reservation) {
+            self.extend_reservations(key);
             return;
         }
         let others = lead
             .capacity_claims
             .iter()
             .filter(|(other, claim)| **other != key && claim.until > now);
-        let kept: u64 = others.clone().map(|(_, claim)| claim.millicores).sum();
-        let rooms = lead
+        let claimed: u64 = others.clone().map(|(_, claim)| claim.millicores).sum();
+        let capacities = lead
             .worker_states
             .values()
             .map(|state| state.entry.room.millicores);
-        let all: u64 = rooms.sum();
-        let many = others.count() >= MOST_WAITING && kept * 100 >= all * KEPT_PERCENT;
+        let total: u64 = capacities.sum();
+        let too_many_claims =
+            others.count() >= MIN_CLAIMS && claimed * 100 >= total * MAX_RESERVED_PERCENT;
         let paused = |at: &CoreTime| now < *at;
-        if !step.urgent && (many || lead.plan_pauses.get(&key).is_some_and(paused)) {
+        if !step.urgent && (too_many_claims || lead.plan_pauses.get(&key).is_some_and(paused)) {
             return;
         }
         let wanted = if step.spec.gang {
             missing
         } else {
-            missing.min(MOST_TASKS)
+            missing.min(MAX_TASKS_AT_ONCE)
         };
-        let plans = self.plan_room(step, wanted, |_| true);
+        let plans = self.plan_capacity(step, wanted, |_| true);
         if plans.is_empty() || (step.spec.gang && plans.len() < missing) {
             if let Some(lead) = self.lead.as_deref_mut() {
-                lead.plan_pauses.insert(key, now + PLAN_PAUSE);
+                lead.plan_pauses.insert(key, now + PLAN_RETRY_DELAY);
             }
             return;
         }
-        self.carry_out(step, &plans);
+        self.apply_plans(step, &plans);
     }
 
     /// Extends the reservations of a step while the capacity may still become free. Estimates are inaccurate,
     /// and all members of a gang wait for the last run on their workers.
-    fn keep_on(&mut self, key: StepKey) {
+    fn extend_reservations(&mut self, key: StepKey) {
         let now = self.now;
         let Some(lead) = self.lead.as_deref_mut() else {
             return;
@@ -232,11 +237,11 @@
         let Some(claim) = lead.capacity_claims.get_mut(&key) else {
             return;
         };
-        let ends_soon = claim.until <= now + KEEP_ON;
-        if !ends_soon || now.saturating_sub(claim.since) >= LONGEST_WAIT {
+        let ends_soon = claim.until <= now + RESERVE_EXTEND_AHEAD;
+        if !ends_soon || now.saturating_sub(claim.since) >= MAX_CAPACITY_WAIT {
             return;
         }
-        claim.until = now + KEEP_TIME;
+        claim.until = now + RESERVE_TIME;
         let until = claim.until;
         for state in lead.worker_states.values_mut() {
             state.extend_reservation(key, until, now);
@@ -247,16 +252,17 @@
     /// restart as well.
     pub(super) fn plan_restart(&self, step: &StepToPlace, tasks: usize) -> Vec<CapacityPlan> {
         let lead = self.lead.as_deref();
-        let stands = |key: StepKey| lead.is_some_and(|lead| lead.restarting.contains_key(&key));
-        self.plan_room(step, tasks, stands)
+        let respects = |key: StepKey| lead.is_some_and(|lead| lead.restarting.contains_key(&key));
+        self.plan_capacity(step, tasks, respects)
     }
 
-    /// Plans capacity for tasks of a step, outside the reservations of the other steps that `stands` selects.
-    fn plan_room(
+    /// Plans capacity for tasks of a step, outside the reservations of the other steps for which `respects`
+    /// is true.
+    fn plan_capacity(
         &self,
         step: &StepToPlace,
         tasks: usize,
-        stands: impl Fn(StepKey) -> bool,
+        respects: impl Fn(StepKey) -> bool,
     ) -> Vec<CapacityPlan> {
         let now = self.now;
         if tasks == 0 {
@@ -266,38 +272,42 @@
             return Vec::new();
         };
         let advice = lead.advice.get(&step.key);
-        let permitted =
-            |id: &WorkerId| step.rule.is_none() || advice.is_some_and(|advice| advice.is_good(id));
-        let mut worker_states: Vec<PlannedWorker<'_>> = lead
+        let permitted = |id: &WorkerId| {
+            step.rule.is_none() || advice.is_some_and(|advice| advice.is_allowed(id))
+        };
+        let mut planned_workers: Vec<PlannedWorker<'_>> = lead
             .worker_states
             .iter()
             .filter(|(id, state)| permitted(id) && is_eligible((id, state), step, now))
             .map(|(id, state)| PlannedWorker {
                 id,
                 state,
-                room: state.entry.room.minus(&state.used),
-                taken: kept_that_stands(state, step.key, now, &stands),
-                gone: Vec::new(),
-                held: tasks_on(state, step.key),
+                free: state.entry.room.minus(&state.used),
+                unavailable: respected_reservations(state, step.key, now, &respects),
+                used_runs: Vec::new(),
+                tasks_held: tasks_on(state, step.key),
             })
             .collect();
         // Takes the plan with the earliest capacity first. A plan changes only the capacity of its own
         // worker, so each of a thousand workers is planned once, and a selected one once more.
         let mut soonest: BinaryHeap<Reverse<PlannedTask>> = BinaryHeap::new();
-        let next_on = |worker_states: &[PlannedWorker<'_>], place: usize| {
-            let state = &worker_states[place];
-            let free = state.held < step.worker_limit();
-            let plan = self.plan_on(step, state).filter(|_| free)?;
-            Some(Reverse(PlannedTask { place, plan }))
+        let next_on = |planned_workers: &[PlannedWorker<'_>], worker_index: usize| {
+            let worker = &planned_workers[worker_index];
+            let below_limit = worker.tasks_held < step.worker_limit();
+            let plan = self.plan_on(step, worker).filter(|_| below_limit)?;
+            Some(Reverse(PlannedTask { worker_index, plan }))
         };
-        soonest.extend((0..worker_states.len()).filter_map(|place| next_on(&worker_states, place)));
+        soonest.extend(
+            (0..planned_workers.len())
+                .filter_map(|worker_index| next_on(&planned_workers, worker_index)),
+        );
         let mut plans = Vec::new();
         while plans.len() < tasks {
-            let Some(Reverse(PlannedTask { place, plan })) = soonest.pop() else {
+            let Some(Reverse(PlannedTask { worker_index, plan })) = soonest.pop() else {
                 break;
             };
-            worker_states[place].take(step, &plan);
-            soonest.extend(next_on(&worker_states, place));
+            planned_workers[worker_index].apply(step, &plan);
+            soonest.extend(next_on(&planned_workers, worker_index));
             plans.push(plan);
         }
         plans
@@ -305,13 +315,13 @@
 
     /// Returns the plan with the earliest capacity for one task on a worker.
     fn plan_on(&self, step: &StepToPlace, planned: &PlannedWorker<'_>) -> Option<CapacityPlan> {
-        let patience = if step.urgent {
+        let wait_before_stop = if step.urgent {
             Duration::ZERO
         } else {
-            PATIENCE
+            WAIT_BEFORE_STOP
         };
-        let mut room = planned.room;
-        let wanted = step.resources_on(planned.state).plus(&planned.taken);
+        let mut free = planned.free;
+        let wanted = step.resources_on(planned.state).plus(&planned.unavailable);
         let mut plan = CapacityPlan {
             worker: planned.id.clone(),
             after: Duration::ZERO,
@@ -319,33 +329,43 @@
             stops: Vec::new(),
             weight: 0,
         };
-        if wanted.fits(&room) {
+        if wanted.fits(&free) {
             return Some(plan);
         }
-        let mut ways: Vec<(Duration, u64, bool, TaskKey, TaskSize)> = planned
+        let mut options: Vec<(Duration, u64, bool, TaskKey, TaskSize)> = planned
             .state
             .runs
             .iter()
-            .filter(|(task, _)| !planned.gone.contains(task))
+            .filter(|(task, _)| !planned.used_runs.contains(task))
             .map(|(task, live)| {
                 let left = self.time_left(*task, live);
-                let stop = self.may_stop_for(step, *task, live) && left > STOP_TIME;
+                let stop = self.may_preempt_for(step, *task, live) && left > STOP_TIME;
                 let after = if stop { STOP_TIME } else { left };
                 let weight = if stop { weight_of(&live.resources) } else { 0 };
-                let patience = if stop { patience } else { Duration::ZERO };
-                (after + patience, weight, stop, *task, live.resources)
+                let wait_before_stop = if stop {
+                    wait_before_stop
+                } else {
+                    Duration::ZERO
+                };
+                (
+                    after + wait_before_stop,
+                    weight,
+                    stop,
+                    *task,
+                    live.resources,
+                )
             })
             .collect();
         // Of the runs whose resources are free at the same time, the largest come first, so that few are
         // stopped.
-        ways.sort_unstable_by_key(|(after, _, _, task, size)| {
+        options.sort_unstable_by_key(|(after, _, _, task, size)| {
             (*after, Reverse(weight_of(size)), *task)
         });
-        for (after, weight, stop, task, size) in ways {
-            if wanted.fits(&room) {
+        for (after, weight, stop, task, size) in options {
+            if wanted.fits(&free) {
                 break;
             }
-            room = room.plus(&size);
+            free = free.plus(&size);
             plan.after = plan.after.max(after);
             plan.weight += weight;
             plan.freed.push(task);
@@ -353,7 +373,7 @@
                 plan.stops.push(task);
             }
         }
-        (wanted.fits(&room) && plan.after <= LONGEST_WAIT).then_some(plan)
+        (wanted.fits(&free) && plan.after <= MAX_CAPACITY_WAIT).then_some(plan)
     }
 
     /// Returns the remaining time of a run by its progress, or else by the expected run time of its task.
@@ -362,30 +382,30 @@
             return STOP_TIME;
         }
         if live.lasting {
-            return LONGEST_WAIT * 2;
+            return MAX_CAPACITY_WAIT * 2;
         }
         let ran = self.age(live.began);
         let expected = self.expected_time(task).saturating_sub(ran);
-        let by_pace = live.progress.and_then(|progress| progress.time_left(ran));
-        by_pace.unwrap_or(expected)
+        let remaining = live.progress.and_then(|progress| progress.time_left(ran));
+        remaining.unwrap_or(expected)
     }
 
-    fn may_stop_for(&self, step: &StepToPlace, task: TaskKey, live: &LiveRun) -> bool {
+    fn may_preempt_for(&self, step: &StepToPlace, task: TaskKey, live: &LiveRun) -> bool {
         let stops = self.lead.as_deref().and_then(|lead| lead.stops.get(&task));
         // Nothing can start in its place while the table is unavailable.
-        let may_stop = self.uses(PolicySwitch::Preemption) && !self.store_is_unavailable();
-        may_stop
+        let may_preempt = self.uses(PolicySwitch::Preemption) && !self.store_is_unavailable();
+        may_preempt
             && live.saves
             && !live.must_not_move
             && live.priority > step.priority
             && matches!(live.phase, RunPhase::Running { .. })
-            && stops.copied().unwrap_or(0) < MOST_STOPS
+            && stops.copied().unwrap_or(0) < MAX_STOPS
     }
 
-    fn carry_out(&mut self, step: &StepToPlace, plans: &[CapacityPlan]) {
+    fn apply_plans(&mut self, step: &StepToPlace, plans: &[CapacityPlan]) {
         let now = self.now;
         let after = plans.iter().map(|plan| plan.after).max();
-        let until = now + KEEP_TIME;
+        let until = now + RESERVE_TIME;
         let Some(lead) = self.lead.as_deref_mut() else {
             return;
         };
@@ -409,7 +429,7 @@
         self.stop_planned_runs(plans);
     }
 
-    /// Stops the runs that the plans stop.
+    /// Stops the runs that must end for the plans.
     pub(super) fn stop_planned_runs(&mut self, plans: &[CapacityPlan]) {
         for plan in plans {
             for task in &plan.stops {
@@ -424,28 +444,29 @@
 
 impl PlannedWorker<'_> {
     /// Applies a plan. The resources of each run count for one task only.
-    fn take(&mut self, step: &StepToPlace, plan: &CapacityPlan) {
+    fn apply(&mut self, step: &StepToPlace, plan: &CapacityPlan) {
         for task in &plan.freed {
             if let Some(live) = self.state.runs.get(task) {
-                self.room = self.room.plus(&live.resources);
+                self.free = self.free.plus(&live.resources);
             }
         }
-        self.gone.extend(plan.freed.iter().copied());
-        self.taken = self.taken.plus(&step.resources_on(self.state));
-        self.held += 1;
+        self.used_runs.extend(plan.freed.iter().copied());
+        self.unavailable = self.unavailable.plus(&step.resources_on(self.state));
+        self.tasks_held += 1;
     }
 }
 
-/// Returns the capacity that is reserved on a worker for the other steps that `stands` selects.
-fn kept_that_stands(
+/// Returns the capacity that is reserved on a worker for the other steps for which `respects` is true.
+fn respected_reservations(
     state: &WorkerState,
     step: StepKey,
     now: CoreTime,
-    stands: impl Fn(StepKey) -> bool,
+    respects: impl Fn(StepKey) -> bool,
 ) -> TaskSize {
-    let kept = state.reserved.iter();
-    let kept = kept.filter(|kept| kept.step != step && kept.until > now && stands(kept.step));
-    kept.fold(TaskSize::default(), |sum, kept| sum.plus(&kept.resources))
+    let reservations = state.reserved.iter();
+    let reservations = reservations
+        .filter(|entry| entry.step != step && entry.until > now && respects(entry.step));
+    reservations.fold(TaskSize::default(), |sum, entry| sum.plus(&entry.resources))
 }
 
 fn weight_of(size: &TaskSize) -> u64 {
--- a/crates/bankvalve_queue/src/core/orders.rs
+++ b/crates/bankvalve_queue/src/core/orders.rs
@@ -14,25 +14,25 @@
 
 /// Maximum time to wait for the answer to an order. Most orders are repeated much earlier, by the time that
 /// answers recently took.
-const ORDER_TIME: Duration = Duration::from_millis(350);
+const MAX_ORDER_TIMEOUT: Duration = Duration::from_millis(350);
 /// Maximum number of start orders in flight to one worker. Each of them uses a connection.
-const STARTS_AT_ONCE: usize = 2;
+const MAX_STARTS_IN_FLIGHT: usize = 2;
 /// Time before an order that was not sent is repeated.
-const ORDER_PAUSE: Duration = Duration::from_millis(120);
+const ORDER_RETRY_DELAY: Duration = Duration::from_millis(120);
 /// Maximum number of attempts at an order that is known not to have been carried out.
-const ORDER_TRIES: u32 = 3;
+const MAX_ORDER_TRIES: u32 = 3;
 /// Time between two scans of all runs for due orders that the list of due orders lacks.
-const ORDER_SCAN: Duration = Duration::from_millis(200);
+const ORDER_SCAN_INTERVAL: Duration = Duration::from_millis(200);
 /// Maximum age of the list of the workers' entries for a start to be checked against it. After a worker's
 /// capacity shrinks, the platform still accepts the old one for its contact time, at least three seconds, and
 /// one heartbeat more.
-const LIST_AGE: Duration = Duration::from_millis(3_000);
+const MAX_ENTRY_AGE: Duration = Duration::from_millis(3_000);
 /// Time before a start is checked again if the workers' entries are too old.
-const LIST_PAUSE: Duration = Duration::from_millis(50);
+const STALE_ENTRY_DELAY: Duration = Duration::from_millis(50);
 /// Time before a stop order is repeated.
-const STOP_PAUSE: Duration = Duration::from_millis(250);
+const STOP_RETRY_DELAY: Duration = Duration::from_millis(250);
 /// Back-off of a worker that refused an order because it was unwell.
-const UNWELL_REST: Duration = Duration::from_millis(1_500);
+const UNWELL_BACKOFF: Duration = Duration::from_millis(1_500);
 
 impl EntryCore {
     /// Sends the order for a run whose start has been committed.
@@ -89,11 +89,11 @@
     fn send_start(&mut self, id: &WorkerId, task: TaskKey) {
         let now = self.now;
         let bound = self.lease_bound();
-        if !self.has_room_now(id, task) {
+        if !self.has_capacity_now(id, task) {
             return;
         }
         if !self.is_within_limit_now(id, task) {
-            self.take_start_back(
+            self.cancel_start(
                 id,
                 task,
                 "limit_lowered",
@@ -123,7 +123,7 @@
             state.lease_until
         };
         state.lease_until = state.lease_until.max(until_ms);
-        if state.starts_in_flight() >= STARTS_AT_ONCE {
+        if state.starts_in_flight() >= MAX_STARTS_IN_FLIGHT {
             // The answer to one of these orders sends the next one.
             return;
         }
@@ -143,7 +143,7 @@
         };
         self.counters.count("calls", "start");
         let call = WorkerCall::Start(Box::new(order));
-        let time = self.order_time();
+        let time = self.order_timeout();
         self.call_worker(id, CallPurpose::Start { task, run }, call, time);
     }
 
@@ -152,12 +152,12 @@
     ///
     /// A start that does not fit is canceled, or stopped if its order may be in flight. While the worker's
     /// current entry is unknown, the start waits.
-    fn has_room_now(&mut self, id: &WorkerId, task: TaskKey) -> bool {
+    fn has_capacity_now(&mut self, id: &WorkerId, task: TaskKey) -> bool {
         if !self.enforces(SiteGuard::RoomOfNow) {
             return true;
         }
         let now = self.now;
-        let list_age = self.worker_list_at.map(|at| now.saturating_sub(at));
+        let entry_age = self.worker_list_at.map(|at| now.saturating_sub(at));
         let wanted = self.resources_of(task);
         let Some(lead) = self.lead.as_deref_mut() else {
             return false;
@@ -169,9 +169,9 @@
         let Some(live) = state.runs.get_mut(&task) else {
             return false;
         };
-        if list_age.is_none_or(|age| age >= LIST_AGE) || !entry_is_current {
-            live.next_at = now + LIST_PAUSE;
-            lead.have_order_due(now + LIST_PAUSE, id, task);
+        if entry_age.is_none_or(|age| age >= MAX_ENTRY_AGE) || !entry_is_current {
+            live.next_at = now + STALE_ENTRY_DELAY;
+            lead.have_order_due(now + STALE_ENTRY_DELAY, id, task);
             return false;
         }
         // A suspect is booked with the whole worker, but takes no more than its step's resources.
@@ -179,19 +179,19 @@
         if used.fits(&state.entry.room) {
             return true;
         }
-        self.take_start_back(id, task, "room_shrunk", "its worker's capacity has shrunk");
+        self.cancel_start(id, task, "room_shrunk", "its worker's capacity has shrunk");
         false
     }
 
     /// Cancels a start that does not fit its worker or its customer's limit any more.
-    fn take_start_back(&mut self, id: &WorkerId, task: TaskKey, kind: &'static str, why: &str) {
+    fn cancel_start(&mut self, id: &WorkerId, task: TaskKey, kind: &'static str, why: &str) {
         let lead = self.lead.as_deref_mut();
         let Some(live) = lead.and_then(|lead| lead.live_run(id, &task)) else {
             return;
         };
-        let (run, sure) = (live.run, live.copies == 0);
+        let (run, known_not_started) = (live.run, live.copies == 0);
         self.counters.count("order_refusals", kind);
-        if sure {
+        if known_not_started {
             let (how, saved) = (EndKind::NeverRan, String::new());
             self.end_without_report(id, task, run, how, saved, why);
         } else {
@@ -199,11 +199,13 @@
         }
     }
 
-    fn order_time(&self) -> Duration {
+    fn order_timeout(&self) -> Duration {
         let lead = self.lead.as_deref();
-        let quick = self.uses(PolicySwitch::QuickRepeat);
-        lead.filter(|_| quick)
-            .map_or(ORDER_TIME, |lead| lead.answer_limit(ORDER_TIME))
+        let repeats_quickly = self.uses(PolicySwitch::QuickRepeat);
+        lead.filter(|_| repeats_quickly)
+            .map_or(MAX_ORDER_TIMEOUT, |lead| {
+                lead.answer_limit(MAX_ORDER_TIMEOUT)
+            })
     }
 
     pub(super) fn end_start(
@@ -213,7 +215,7 @@
         run: u64,
         answer: &WorkerAnswer,
     ) {
-        self.settle_start(id, task, run, answer);
+        self.apply_start_answer(id, task, run, answer);
         self.send_waiting_starts(id);
     }
 
@@ -232,14 +234,20 @@
             .flat_map(|state| &state.runs)
             .filter(|(_, live)| waits(live))
             .map(|(task, _)| *task)
-            .take(STARTS_AT_ONCE)
+            .take(MAX_STARTS_IN_FLIGHT)
             .collect();
         for task in waiting {
             self.send_start(id, task);
         }
     }
 
-    fn settle_start(&mut self, id: &WorkerId, task: TaskKey, run: u64, answer: &WorkerAnswer) {
+    fn apply_start_answer(
+        &mut self,
+        id: &WorkerId,
+        task: TaskKey,
+        run: u64,
+        answer: &WorkerAnswer,
+    ) {
         let now = self.now;
         let Some(lead) = self.lead.as_deref_mut() else {
             return;
@@ -273,16 +281,16 @@
                 self.counters.count("retries", "order_unanswered");
                 return;
             }
-            WorkerAnswer::PortRefused | WorkerAnswer::NotSent if live.tries < ORDER_TRIES => {
-                live.next_at = now + ORDER_PAUSE;
-                lead.have_order_due(now + ORDER_PAUSE, id, task);
+            WorkerAnswer::PortRefused | WorkerAnswer::NotSent if live.tries < MAX_ORDER_TRIES => {
+                live.next_at = now + ORDER_RETRY_DELAY;
+                lead.have_order_due(now + ORDER_RETRY_DELAY, id, task);
                 self.counters.count("retries", "order_not_sent");
                 return;
             }
             WorkerAnswer::Refused {
                 reason: StartRefusal::Late,
                 ..
-            } if live.tries < ORDER_TRIES => {
+            } if live.tries < MAX_ORDER_TRIES => {
                 live.next_at = now;
                 lead.have_order_due(now, id, task);
                 return;
@@ -294,8 +302,8 @@
             WorkerAnswer::Unwell => "unwell",
             _ => "not_sent",
         };
-        let sure = live.copies == 0;
-        let old = matches!(
+        let known_not_started = live.copies == 0;
+        let refused_as_old = matches!(
             answer,
             WorkerAnswer::Refused {
                 reason: StartRefusal::Old,
@@ -303,7 +311,7 @@
             }
         );
         if *answer == WorkerAnswer::Unwell {
-            state.backoff_until = state.backoff_until.max(now + UNWELL_REST);
+            state.backoff_until = state.backoff_until.max(now + UNWELL_BACKOFF);
         }
         self.counters.count("order_refusals", why);
         self.log(
@@ -315,7 +323,7 @@
         if why == "permit" {
             self.drop_permit(task.step, id);
         }
-        if sure && !old {
+        if known_not_started && !refused_as_old {
             self.end_without_report(id, task, run, EndKind::NeverRan, String::new(), why);
         } else {
             self.begin_stop_run(id, task);
@@ -325,7 +333,7 @@
     /// Stops a run. Its resources become free when the worker reports its end or no longer reports the run.
     pub(super) fn begin_stop_run(&mut self, id: &WorkerId, task: TaskKey) {
         let now = self.now;
-        let counts = self.enforces(SiteGuard::StopsCount);
+        let keeps_resources = self.enforces(SiteGuard::StopsCount);
         let Some(lead) = self.lead.as_deref_mut() else {
             return;
         };
@@ -343,7 +351,7 @@
         live.next_at = now;
         live.busy = false;
         lead.have_order_due(now, id, task);
-        if counts {
+        if keeps_resources {
             return;
         }
         let state = self
@@ -369,7 +377,7 @@
             self.send_due_orders(due);
             return;
         }
-        lead.next_order_scan = now + ORDER_SCAN;
+        lead.next_order_scan = now + ORDER_SCAN_INTERVAL;
         let Some(lead) = self.lead.as_deref() else {
             return;
         };
@@ -411,7 +419,7 @@
         let run = live.run;
         self.counters.count("calls", "stop");
         let call = WorkerCall::Stop { task, run };
-        let time = self.order_time();
+        let time = self.order_timeout();
         self.call_worker(id, CallPurpose::Stop { task, run }, call, time);
     }
 
@@ -431,14 +439,14 @@
             return;
         };
         live.busy = false;
-        live.next_at = now + STOP_PAUSE;
+        live.next_at = now + STOP_RETRY_DELAY;
         let done = matches!(answer, WorkerAnswer::Done { .. });
         if done {
             live.phase = RunPhase::Stopping {
                 confirmed: Some(now),
             };
         }
-        lead.have_order_due(now + STOP_PAUSE, id, task);
+        lead.have_order_due(now + STOP_RETRY_DELAY, id, task);
         if done {
             self.log_often("runs", "stop", || {
                 (task.to_string(), format!("run {run} on {id}"))
--- a/crates/bankvalve_queue/src/core/overdue_runs.rs
+++ b/crates/bankvalve_queue/src/core/overdue_runs.rs
@@ -16,22 +16,22 @@
 
 /// Minimum time without progress after which a run counts as stalled. Even a slow worker advances a short
 /// lookup by some percent in it.
-const STALL_LEAST: Duration = Duration::from_millis(400);
+const MIN_STALL_TIME: Duration = Duration::from_millis(400);
 /// Time without progress after which a run counts as stalled, in percent of its expected run time.
-const STALL_PERCENTS: u32 = 15;
+const STALL_PERCENT: u32 = 15;
 /// Minimum run time from which the pace of a run is known.
-const PACE_LEAST: Duration = Duration::from_millis(300);
+const MIN_PACE_TIME: Duration = Duration::from_millis(300);
 /// Factor over its expected run time above which a run is slow. Estimates are off by up to a factor of two.
 const SLOW_FACTOR: u32 = 3;
 /// Time to stop a run and to start its task elsewhere until its work begins.
 const RESTART_TIME: Duration = Duration::from_millis(500);
 /// Factor by which the remaining time of a slow run must exceed the time of a start elsewhere.
-const WORTH_FACTOR: u32 = 2;
+const MIN_GAIN_FACTOR: u32 = 2;
 /// Back-off of a worker on which a run is stalled or slow.
-const OVERDUE_REST: Duration = Duration::from_millis(2_500);
+const OVERDUE_BACKOFF: Duration = Duration::from_millis(2_500);
 /// Maximum number of times that a task is stopped as overdue, so that it does not move between workers
 /// forever.
-const MOST_MOVES: u32 = 2;
+const MAX_MOVES: u32 = 2;
 
 /// Progress of a run, as its worker's run lists report it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -40,31 +40,31 @@
     /// When the current percentage was first reported.
     since: CoreTime,
     /// When the last list was requested. The progress in it is no older.
-    asked_at: CoreTime,
+    requested_at: CoreTime,
 }
 
 /// Why a run is started elsewhere.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum OverdueReason {
-    StandsStill,
+    Stalled,
     Slow,
 }
 
 impl OverdueReason {
     fn as_str(self) -> &'static str {
         match self {
-            OverdueReason::StandsStill => "stands_still",
+            OverdueReason::Stalled => "stands_still",
             OverdueReason::Slow => "slow",
         }
     }
 }
 
 impl RunProgress {
-    /// Returns the progress after a run list that was requested at `asked_at` and has arrived now.
-    pub(super) fn note(
+    /// Returns the progress after a run list that was requested at `requested_at` and has arrived now.
+    pub(super) fn updated(
         known: Option<Self>,
         percent: u32,
-        asked_at: CoreTime,
+        requested_at: CoreTime,
         now: CoreTime,
     ) -> Self {
         let since = known
@@ -73,40 +73,40 @@
         Self {
             percent,
             since,
-            asked_at,
+            requested_at,
         }
     }
 
     /// Returns the remaining time of a run at its pace, or `None` if the pace is not known.
     pub(super) fn time_left(&self, ran: Duration) -> Option<Duration> {
-        let known = self.percent > 0 && ran >= PACE_LEAST;
+        let known = self.percent > 0 && ran >= MIN_PACE_TIME;
         known.then(|| (ran * 100 / self.percent).saturating_sub(ran))
     }
 
     /// Returns why a run is overdue, or `None` if it is not.
-    fn judge(&self, began: CoreTime, expected: Duration) -> Option<OverdueReason> {
-        let stall = STALL_LEAST.max(expected * STALL_PERCENTS / 100);
-        if self.asked_at.saturating_sub(self.since) > stall {
-            return Some(OverdueReason::StandsStill);
+    fn overdue_reason(&self, began: CoreTime, expected: Duration) -> Option<OverdueReason> {
+        let stall = MIN_STALL_TIME.max(expected * STALL_PERCENT / 100);
+        if self.requested_at.saturating_sub(self.since) > stall {
+            return Some(OverdueReason::Stalled);
         }
-        let ran = self.asked_at.saturating_sub(began);
-        if ran < PACE_LEAST || ran < expected {
+        let ran = self.requested_at.saturating_sub(began);
+        if ran < MIN_PACE_TIME || ran < expected {
             return None;
         }
-        let whole = ran * 100 / self.percent.max(1);
-        let left = whole.saturating_sub(ran);
-        let slow = whole > expected * SLOW_FACTOR;
-        let helps = left > (expected + RESTART_TIME) * WORTH_FACTOR;
-        (slow && helps).then_some(OverdueReason::Slow)
+        let total_estimate = ran * 100 / self.percent.max(1);
+        let left = total_estimate.saturating_sub(ran);
+        let slow = total_estimate > expected * SLOW_FACTOR;
+        let is_worth_it = left > (expected + RESTART_TIME) * MIN_GAIN_FACTOR;
+        (slow && is_worth_it).then_some(OverdueReason::Slow)
     }
 }
 
 impl EntryCore {
     /// Records the progress of a worker's runs, and stops the overdue ones to start them elsewhere.
-    pub(super) fn judge_progress(
+    pub(super) fn check_progress(
         &mut self,
         id: &WorkerId,
-        asked_at: CoreTime,
+        requested_at: CoreTime,
         running: &[RunReport],
     ) {
         if !self.uses(PolicySwitch::OverdueRuns) {
@@ -127,13 +127,13 @@
             let Some(live) = live.filter(|live| live.run == report.run) else {
                 continue;
             };
-            let progress = RunProgress::note(live.progress, report.percent, asked_at, now);
+            let progress = RunProgress::updated(live.progress, report.percent, requested_at, now);
             live.progress = Some(progress);
             // Each start of a suspect may end another worker, and a suspect gets few starts.
-            if moves >= MOST_MOVES || is_suspect || !may_move(live) {
+            if moves >= MAX_MOVES || is_suspect || !may_move(live) {
                 continue;
             }
-            if let Some(reason) = progress.judge(live.began, expected) {
+            if let Some(reason) = progress.overdue_reason(live.began, expected) {
                 overdue.push((report.task, report.percent, reason));
             }
         }
@@ -167,7 +167,7 @@
         };
         *lead.moves.entry(task).or_default() += 1;
         if let Some(state) = lead.worker_states.get_mut(id) {
-            state.backoff_until = state.backoff_until.max(now + OVERDUE_REST);
+            state.backoff_until = state.backoff_until.max(now + OVERDUE_BACKOFF);
         }
         self.begin_stop_run(id, task);
     }
--- a/crates/bankvalve_queue/src/core/placement.rs
+++ b/crates/bankvalve_queue/src/core/placement.rs
@@ -10,7 +10,8 @@
 use super::suspects::{SuspectHistory, TrialMode};
 use super::waiting_steps::{Lateness, WaitingRank, FIRST_RANK};
 use super::worker_selection::{
-    choose, eligible_workers, first_advice_request, is_eligible, unasked_with_capacity, workers_of,
+    assign_workers, eligible_workers, first_advice_request, is_eligible, unasked_with_capacity,
+    workers_to_ask,
 };
 use super::worker_state::{Reservation, WorkerState};
 use super::EntryCore;
@@ -22,30 +23,30 @@
 use crate::queue_table::AdviceRule;
 
 /// Maximum number of steps considered in one placement pass, in the order of their ranks.
-const LOOK_LIMIT: usize = 100;
+const MAX_STEPS_PER_PASS: usize = 100;
 /// Minimum time between two placement passes.
-const PLACE_PACE: Duration = Duration::from_millis(4);
-/// Added to [`PLACE_PACE`] for each step that the last pass considered, so that a long queue does not use the
-/// whole CPU. About three times the cost of considering a step on a quarter of a core.
-const PLACE_EACH: Duration = Duration::from_micros(300);
+const MIN_PLACEMENT_INTERVAL: Duration = Duration::from_millis(4);
+/// Added to [`MIN_PLACEMENT_INTERVAL`] for each step that the last pass considered, so that a long queue does
+/// not use the whole CPU. About three times the cost of considering a step with a quarter of a core.
+const PLACEMENT_INTERVAL_PER_STEP: Duration = Duration::from_micros(300);
 /// Time after which a placement pass runs although nothing is known to have changed.
-const PLACE_IDLE: Duration = Duration::from_millis(250);
+const IDLE_PLACEMENT_INTERVAL: Duration = Duration::from_millis(250);
 /// Time for which capacity stays reserved for a step after the answer to its advice request is expected.
-const RESERVE_SLACK: Duration = Duration::from_millis(60);
+const RESERVATION_SLACK: Duration = Duration::from_millis(60);
 /// Percentage of the live peers that must be idle advisers for a step to request advice about further workers
 /// if its job can only finish late. Long advice requests leave a third of the instances free for short ones.
-const LATE_IDLE_PERCENT: usize = 40;
+const LATE_MIN_IDLE_PERCENT: usize = 40;
 /// Percentage of the live peers that must be idle advisers if the job can only finish too late to earn
 /// anything.
-const TOO_LATE_IDLE_PERCENT: usize = 50;
+const TOO_LATE_MIN_IDLE_PERCENT: usize = 50;
 
 /// Maximum number of failed runs that a queue may allow for its gangs to prefer workers whose last run did
 /// not fail. If the queue allows more, starting at once is worth more than waiting for such workers.
-const FEW_ATTEMPTS: u32 = 2;
+const HEALTHY_FIRST_MAX_ATTEMPTS: u32 = 2;
 
 /// Added to the priority value of a step beyond its customer's share, so that any other step may preempt its
 /// runs.
-const BEYOND_PRIORITY: u32 = 1_000;
+const BEYOND_SHARE_PRIORITY: u32 = 1_000;
 
 /// A step whose tasks are being placed.
 pub(super) struct StepToPlace {
@@ -64,11 +65,11 @@
     /// Whether the step prefers workers whose last run did not fail.
     pub(super) healthy_first: bool,
     /// Suspects among the tasks that start only where nothing else runs.
-    alone: Vec<TaskKey>,
+    isolated: Vec<TaskKey>,
     /// Suspects among the tasks that start only where no other new run is.
-    apart: Vec<TaskKey>,
+    apart_from_new: Vec<TaskKey>,
     /// Workers that ended under the isolated suspects. Another end of the same worker would add no evidence.
-    pub(super) tried_on: Vec<WorkerId>,
+    pub(super) crashed_workers: Vec<WorkerId>,
     /// Whether a long-running task among them is past its restart deadline, so that workers in back-off are
     /// eligible too.
     pub(super) past_deadline: bool,
@@ -91,7 +92,7 @@
 
     /// Returns the resources that a task takes on a worker. An isolated task takes the whole worker.
     pub(super) fn resources_of(&self, task: &TaskKey, state: &WorkerState) -> TaskSize {
-        if self.alone.contains(task) {
+        if self.isolated.contains(task) {
             state.entry.room
         } else {
             self.resources
@@ -100,12 +101,12 @@
 
     /// Returns whether any task is a suspect that must be isolated or placed apart from new runs.
     pub(super) fn has_trials(&self) -> bool {
-        !(self.alone.is_empty() && self.apart.is_empty())
+        !(self.isolated.is_empty() && self.apart_from_new.is_empty())
     }
 
     /// Returns whether a task may start beside the runs that the worker has.
     pub(super) fn may_join(&self, task: &TaskKey, state: &WorkerState, now: CoreTime) -> bool {
-        !self.apart.contains(task) || !state.has_new_run(now)
+        !self.apart_from_new.contains(task) || !state.has_new_run(now)
     }
 
     /// Returns whether all tasks may start beside any other runs.
@@ -116,7 +117,7 @@
     /// Returns the resources that each task takes on a worker: the whole worker if all tasks are isolated, or
     /// else those of a task that is not.
     pub(super) fn resources_on(&self, state: &WorkerState) -> TaskSize {
-        if self.alone.len() == self.tasks.len() {
+        if self.isolated.len() == self.tasks.len() {
             state.entry.room
         } else {
             self.resources
@@ -136,19 +137,19 @@
         if !lead.workers_known || blocked || now < lead.place_at {
             return;
         }
-        let idle = now.saturating_sub(lead.place_at) < PLACE_IDLE;
+        let idle = now.saturating_sub(lead.place_at) < IDLE_PLACEMENT_INTERVAL;
         if !lead.placement_due && idle {
             return;
         }
         lead.placement_due = false;
-        lead.place_at = now + PLACE_PACE;
+        lead.place_at = now + MIN_PLACEMENT_INTERVAL;
         let wall = self.wall;
         let mut ranked: Vec<(WaitingRank, StepKey)> = lead
             .waiting
             .iter()
             .map(|(key, step)| {
-                let returns = lead.restarting.contains_key(key);
-                let rank = if returns {
+                let restarts = lead.restarting.contains_key(key);
+                let rank = if restarts {
                     FIRST_RANK
                 } else {
                     step.rank(now, wall, by_time)
@@ -163,14 +164,14 @@
         let Some(lead) = self.lead.as_deref_mut() else {
             return;
         };
-        ranked.truncate(LOOK_LIMIT);
-        lead.place_at += PLACE_EACH * ranked.len() as u32;
-        let most = lead.max_free();
-        let looked = ranked.len() as u64;
+        ranked.truncate(MAX_STEPS_PER_PASS);
+        lead.place_at += PLACEMENT_INTERVAL_PER_STEP * ranked.len() as u32;
+        let largest_free = lead.max_free();
+        let considered = ranked.len() as u64;
         self.counters
-            .count_many("placements", "steps_looked_at", looked);
+            .count_many("placements", "steps_looked_at", considered);
         for (_, key) in ranked {
-            if !self.may_fit(key, &most) {
+            if !self.may_fit(key, &largest_free) {
                 self.note_capacity_wait(key);
                 if !self.may_reclaim_capacity(key) {
                     continue;
@@ -180,11 +181,11 @@
                 self.place_step(&step);
             }
         }
-        self.refresh_touched_steps();
+        self.refresh_placed_steps();
     }
 
     /// Updates the waiting steps whose tasks have just been placed, without causing another placement pass.
-    fn refresh_touched_steps(&mut self) {
+    fn refresh_placed_steps(&mut self) {
         self.refresh_dirty_jobs();
         if let Some(lead) = self.lead.as_deref_mut() {
             lead.placement_due = false;
@@ -193,37 +194,38 @@
 
     /// Returns whether a task of a step could fit on any worker, by a cheap check against the largest free
     /// amounts.
-    fn may_fit(&self, key: StepKey, most: &TaskSize) -> bool {
+    fn may_fit(&self, key: StepKey, largest_free: &TaskSize) -> bool {
         let job = self.book.job(key.job);
         let spec = job.and_then(|job| job.spec.steps.get(usize::from(key.step)));
-        spec.is_some_and(|spec| spec.resources().fits(most))
+        spec.is_some_and(|spec| spec.resources().fits(largest_free))
     }
 
     fn step_to_place(&mut self, key: StepKey) -> Option<StepToPlace> {
         let tasks = self.tasks_to_place(key)?;
-        let mut step = self.placed_step(key, tasks)?;
+        let mut step = self.new_step_to_place(key, tasks)?;
         if let Some(customer) = &step.customer {
             let admitted = self.tasks_within_limit(customer, &step.spec.size);
-            let too_wide = step.spec.gang && step.tasks.len() > admitted;
-            step.tasks.truncate(if too_wide { 0 } else { admitted });
+            let exceeds_limit = step.spec.gang && step.tasks.len() > admitted;
+            step.tasks
+                .truncate(if exceeds_limit { 0 } else { admitted });
         }
         (!step.tasks.is_empty()).then_some(step)
     }
 
     /// Prepares tasks of a step for a start beside any other runs, whether the tasks wait yet or not.
     pub(super) fn due_step(&self, key: StepKey, tasks: Vec<TaskKey>) -> Option<StepToPlace> {
-        self.placed_step(key, (tasks, Vec::new(), Vec::new()))
+        self.new_step_to_place(key, (tasks, Vec::new(), Vec::new()))
     }
 
-    fn placed_step(&self, key: StepKey, tasks: TrialTasks) -> Option<StepToPlace> {
-        let (tasks, alone, apart) = tasks;
+    fn new_step_to_place(&self, key: StepKey, tasks: TrialTasks) -> Option<StepToPlace> {
+        let (tasks, isolated, apart_from_new) = tasks;
         let job = self.book.job(key.job)?;
         let spec = job.spec.steps.get(usize::from(key.step))?.clone();
         let record = job.step(key)?;
-        let waits = |task: &TaskKey| record.tasks.get(task.index as usize);
+        let record_of = |task: &TaskKey| record.tasks.get(task.index as usize);
         let past_deadline = tasks
             .iter()
-            .filter_map(waits)
+            .filter_map(record_of)
             .any(|task| self.is_past_restart_deadline(&spec, task));
         let queue = self
             .table
@@ -232,40 +234,45 @@
         let terms = queue.map_or(&job.terms, |queue| &queue.terms);
         let lead = self.lead.as_deref();
         let waiting = lead.and_then(|lead| lead.waiting.get(&key));
-        let beyond = waiting.is_some_and(|step| step.is_beyond_share(self.now));
-        let counts = alone.iter().filter_map(waits);
-        let ends = counts.filter_map(TaskRecord::crash_count);
-        let tried_on = ends.flat_map(|count| count.ends().iter().map(|end| end.worker.clone()));
-        let tried_on = tried_on.collect();
+        let beyond_share = waiting.is_some_and(|step| step.is_beyond_share(self.now));
+        let crash_counts = isolated.iter().filter_map(record_of);
+        let ends = crash_counts.filter_map(TaskRecord::crash_count);
+        let crashed_workers =
+            ends.flat_map(|count| count.ends().iter().map(|end| end.worker.clone()));
+        let crashed_workers = crashed_workers.collect();
         let mut step = StepToPlace {
             key,
             service: terms.service.clone(),
             customer: job.spec.customer.clone(),
             rule: terms.advice,
-            priority: terms
-                .priority
-                .saturating_add(if beyond { BEYOND_PRIORITY } else { 0 }),
-            urgent: terms.priority == 0 && !beyond,
-            fast_first: terms.priority == 0 && !beyond && self.uses(PolicySwitch::FastWorkers),
+            priority: terms.priority.saturating_add(if beyond_share {
+                BEYOND_SHARE_PRIORITY
+            } else {
+                0
+            }),
+            urgent: terms.priority == 0 && !beyond_share,
+            fast_first: terms.priority == 0
+                && !beyond_share
+                && self.uses(PolicySwitch::FastWorkers),
             healthy_first: spec.gang
-                && terms.attempts <= FEW_ATTEMPTS
+                && terms.attempts <= HEALTHY_FIRST_MAX_ATTEMPTS
                 && self.uses(PolicySwitch::ProvedWorkers),
             resources: spec.resources(),
             run: record.last_run() + 1,
             spec,
             tasks,
-            alone,
-            apart,
-            tried_on,
+            isolated,
+            apart_from_new,
+            crashed_workers,
             past_deadline,
         };
         // If no other worker is eligible, the workers that have already ended under the task are eligible
         // again.
-        let mut worker_states = lead.iter().flat_map(|lead| lead.worker_states.iter());
-        if !step.tried_on.is_empty()
-            && !worker_states.any(|entry| is_eligible(entry, &step, self.now))
+        let mut workers = lead.iter().flat_map(|lead| lead.worker_states.iter());
+        if !step.crashed_workers.is_empty()
+            && !workers.any(|entry| is_eligible(entry, &step, self.now))
         {
-            step.tried_on.clear();
+            step.crashed_workers.clear();
         }
         Some(step)
     }
@@ -284,14 +291,15 @@
             .filter(|(_, task)| task.phase == TaskPhase::Waiting)
             .collect();
         let past_deadline = |task: &TaskRecord| self.is_past_restart_deadline(spec, task);
-        let whole = gang && waiting.iter().any(|(_, task)| past_deadline(task));
+        let gang_past_deadline = gang && waiting.iter().any(|(_, task)| past_deadline(task));
         let must_be_isolated =
             |task: &TaskRecord| task.crash_count().is_some_and(CrashCount::must_be_isolated);
-        let in_a_hurry =
-            |task: &TaskRecord| (whole || past_deadline(task)) && !must_be_isolated(task);
-        let is_tried = |task: &TaskRecord| task.is_suspect() && !in_a_hurry(task);
+        let skips_trial = |task: &TaskRecord| {
+            (gang_past_deadline || past_deadline(task)) && !must_be_isolated(task)
+        };
+        let needs_trial = |task: &TaskRecord| task.is_suspect() && !skips_trial(task);
         let (suspects, others): (Vec<_>, Vec<_>) =
-            waiting.into_iter().partition(|(_, task)| is_tried(task));
+            waiting.into_iter().partition(|(_, task)| needs_trial(task));
         let keys = |tasks: &[(usize, &TaskRecord)]| -> Vec<TaskKey> {
             let indexes = tasks.iter().map(|(index, _)| *index as u32);
             indexes.map(|index| key.task(index)).collect()
@@ -299,17 +307,21 @@
         if suspects.is_empty() || !(gang || others.is_empty()) {
             return (!others.is_empty()).then(|| (keys(&others), Vec::new(), Vec::new()));
         }
-        let hurried = |task: &TaskRecord| whole || past_deadline(task);
-        let stand = SuspectHistory::of(suspects.iter().map(|(_, task)| (*task, hurried(task))));
-        let tried = keys(if gang { &suspects } else { &suspects[..1] });
+        let starts_urgently = |task: &TaskRecord| gang_past_deadline || past_deadline(task);
+        let history = SuspectHistory::of(
+            suspects
+                .iter()
+                .map(|(_, task)| (*task, starts_urgently(task))),
+        );
+        let trial_tasks = keys(if gang { &suspects } else { &suspects[..1] });
         let tasks = if gang {
-            [tried.clone(), keys(&others)].concat()
+            [trial_tasks.clone(), keys(&others)].concat()
         } else {
-            tried.clone()
+            trial_tasks.clone()
         };
-        match self.trial_mode(key, stand) {
-            TrialMode::Isolated => Some((tasks, tried, Vec::new())),
-            TrialMode::ApartFromNew => Some((tasks, Vec::new(), tried)),
+        match self.trial_mode(key, history) {
+            TrialMode::Isolated => Some((tasks, trial_tasks, Vec::new())),
+            TrialMode::ApartFromNew => Some((tasks, Vec::new(), trial_tasks)),
             TrialMode::AmongOthers => Some((tasks, Vec::new(), Vec::new())),
             TrialMode::Deferred => None,
         }
@@ -320,31 +332,32 @@
         let Some(lead) = self.lead.as_deref() else {
             return;
         };
-        let kept_at = now + lead.time_to_commit();
+        let committed_at = now + lead.time_to_commit();
         let empty = StepAdvice::default();
         let advice = lead.advice.get(&step.key).unwrap_or(&empty);
         let Some(rule) = step.rule else {
-            let choice = choose(step, &eligible_workers(lead, step, now), now);
-            let placed = choice.len();
-            let returns = is_prepared_restart(lead, step);
-            self.start_choice(step, choice);
-            if !returns {
-                self.settle_room(step, placed);
+            let assignment = assign_workers(step, &eligible_workers(lead, step, now), now);
+            let placed = assignment.len();
+            let is_restart = is_prepared_restart(lead, step);
+            self.start_assignment(step, assignment);
+            if !is_restart {
+                self.update_capacity_claim(step, placed);
             }
             return;
         };
         if is_prepared_restart(lead, step) {
-            let permitted = advice.permitted(kept_at).filter_map(|id| {
+            let permitted = advice.permitted(committed_at).filter_map(|id| {
                 let state = lead.worker_states.get(id)?;
                 is_eligible((id, state), step, now).then_some((id, state))
             });
-            let choice = choose(step, &permitted.collect::<Vec<_>>(), now);
-            self.start_choice(step, choice);
+            let assignment = assign_workers(step, &permitted.collect::<Vec<_>>(), now);
+            self.start_assignment(step, assignment);
             return;
         }
-        let can_ask = advice.can_ask(now) && self.has_adviser_soon(rule, step.tasks.len());
-        if advice.is_new() {
-            if can_ask && self.may_explore(step.key) {
+        let can_request =
+            advice.can_send_request(now) && self.has_available_adviser(rule, step.tasks.len());
+        if advice.has_no_answer() {
+            if can_request && self.may_ask_about_unknown(step.key) {
                 let workers = first_advice_request(step, &eligible_workers(lead, step, now), now);
                 if !workers.is_empty() {
                     self.request_advice(step.key, rule, &workers);
@@ -353,44 +366,50 @@
             return;
         }
         // Looks workers up by id, because far fewer have permits than there are workers.
-        let admitted = |id| {
+        let eligible = |id| {
             let state = lead.worker_states.get(id)?;
             is_eligible((id, state), step, now).then_some((id, state))
         };
-        let permitted: Vec<(&WorkerId, &WorkerState)> =
-            advice.permitted(kept_at).filter_map(admitted).collect();
-        let choice = choose(step, &permitted, now);
-        let whole = choice.len() == step.tasks.len();
-        let mut question = Vec::new();
-        let mut kept = Vec::new();
-        let mut others = Vec::new();
-        if !whole && can_ask {
-            let good: Vec<(&WorkerId, &WorkerState)> = advice.good().filter_map(admitted).collect();
-            let wider = choose(step, &good, now);
-            if wider.len() > choice.len() {
-                question = workers_of(&wider);
-                question.retain(|id| advice.permit(id, kept_at).is_none() || step.spec.gang);
-                kept = wider;
+        let permitted: Vec<(&WorkerId, &WorkerState)> = advice
+            .permitted(committed_at)
+            .filter_map(eligible)
+            .collect();
+        let assignment = assign_workers(step, &permitted, now);
+        let is_complete = assignment.len() == step.tasks.len();
+        let mut request = Vec::new();
+        let mut to_reserve = Vec::new();
+        let mut unasked = Vec::new();
+        if !is_complete && can_request {
+            let allowed: Vec<(&WorkerId, &WorkerState)> =
+                advice.good().filter_map(eligible).collect();
+            let wider = assign_workers(step, &allowed, now);
+            if wider.len() > assignment.len() {
+                request = workers_to_ask(&wider);
+                request.retain(|id| advice.permit(id, committed_at).is_none() || step.spec.gang);
+                to_reserve = wider;
             } else {
-                others = unasked_with_capacity(lead, step, advice, now);
+                unasked = unasked_with_capacity(lead, step, advice, now);
             }
         }
-        let placed: Vec<TaskKey> = choice.iter().map(|(task, _)| *task).collect();
-        self.start_choice(step, choice);
-        let seeks_room = can_ask && question.is_empty();
+        let placed: Vec<TaskKey> = assignment.iter().map(|(task, _)| *task).collect();
+        self.start_assignment(step, assignment);
+        let needs_capacity = can_request && request.is_empty();
         // It could take long until enough capacity for a gang becomes free by chance, however many workers it
         // asks about. So capacity is first reclaimed on the workers that may run it, if there are enough of
         // them.
-        if whole || (seeks_room && (others.is_empty() || step.spec.gang)) {
-            self.settle_room(step, placed.len());
+        if is_complete || (needs_capacity && (unasked.is_empty() || step.spec.gang)) {
+            self.update_capacity_claim(step, placed.len());
         }
-        if seeks_room && !self.has_capacity_claim(step.key) && self.may_explore(step.key) {
-            question = others;
+        if needs_capacity
+            && !self.has_capacity_claim(step.key)
+            && self.may_ask_about_unknown(step.key)
+        {
+            request = unasked;
         }
-        if !question.is_empty() {
-            let until = self.request_advice(step.key, rule, &question);
-            kept.retain(|(task, _)| !placed.contains(task));
-            self.reserve(step, &kept, until + RESERVE_SLACK);
+        if !request.is_empty() {
+            let until = self.request_advice(step.key, rule, &request);
+            to_reserve.retain(|(task, _)| !placed.contains(task));
+            self.reserve(step, &to_reserve, until + RESERVATION_SLACK);
         }
     }
 
@@ -399,21 +418,21 @@
     ///
     /// In a backlog, a hundred gangs have advice requests pending, on as many instances. Without this check,
     /// gangs that can still finish in time wait behind them.
-    fn may_explore(&self, key: StepKey) -> bool {
+    fn may_ask_about_unknown(&self, key: StepKey) -> bool {
         let lead = self.lead.as_deref();
         let step = lead.and_then(|lead| lead.waiting.get(&key));
-        let least = match step.map(|step| step.lateness(self.wall)) {
-            Some(Lateness::Late) => LATE_IDLE_PERCENT,
-            Some(Lateness::TooLate) => TOO_LATE_IDLE_PERCENT,
+        let min_idle_percent = match step.map(|step| step.lateness(self.wall)) {
+            Some(Lateness::Late) => LATE_MIN_IDLE_PERCENT,
+            Some(Lateness::TooLate) => TOO_LATE_MIN_IDLE_PERCENT,
             _ => return true,
         };
         // Counted among live peers only, so that a leader without any may still send its own requests.
-        self.idle_advisers() * 100 >= self.live_peers().count() * least
+        self.idle_advisers() * 100 >= self.live_peers().count() * min_idle_percent
     }
 
     /// Reclaims capacity for the tasks of a step that found none, once the step has waited long enough. If
     /// all tasks were placed, drops the step's capacity claim.
-    fn settle_room(&mut self, step: &StepToPlace, placed: usize) {
+    fn update_capacity_claim(&mut self, step: &StepToPlace, placed: usize) {
         let missing = step.tasks.len() - placed;
         if missing == 0 {
             self.drop_capacity_claim(step.key);
@@ -426,11 +445,11 @@
     }
 
     /// Reserves capacity for a step while its permits are renewed.
-    fn reserve(&mut self, step: &StepToPlace, choice: &Assignment, until: CoreTime) {
+    fn reserve(&mut self, step: &StepToPlace, assignment: &Assignment, until: CoreTime) {
         if !self.uses(PolicySwitch::PermitRoom) {
             return;
         }
-        self.reserve_capacity(step, choice.iter().map(|(_, worker)| worker), until);
+        self.reserve_capacity(step, assignment.iter().map(|(_, worker)| worker), until);
     }
 
     /// Reserves capacity for one task of a step on each of these workers; for several on a worker that occurs
@@ -452,20 +471,20 @@
         for (worker, count) in counts {
             if let Some(state) = lead.worker_states.get_mut(worker) {
                 state.drop_reservation(step.key, now);
-                let room = step.resources_on(state);
+                let resources = step.resources_on(state);
                 state.reserved.push(Reservation {
                     step: step.key,
-                    resources: room.times(count),
+                    resources: resources.times(count),
                     until,
                 });
             }
         }
     }
 
-    fn start_choice(&mut self, step: &StepToPlace, choice: Assignment) {
+    fn start_assignment(&mut self, step: &StepToPlace, assignment: Assignment) {
         let now = self.now;
-        let choice = self.within_limit(step, choice);
-        for (task, worker) in choice {
+        let assignment = self.within_limit(step, assignment);
+        for (task, worker) in assignment {
             let Some(lead) = self.lead.as_deref_mut() else {
                 return;
             };
@@ -483,7 +502,7 @@
             live.permit = permit;
             live.set_priority(step.priority);
             live.customer.clone_from(&step.customer);
-            if step.alone.contains(&task) || step.apart.contains(&task) {
+            if step.isolated.contains(&task) || step.apart_from_new.contains(&task) {
                 live.on_trial = true;
                 live.resources = state.entry.room.minus(&state.used);
                 lead.trials.extend(trial.map(|trial| (task, trial)));
--- a/crates/bankvalve_queue/src/core/waiting_steps.rs
+++ b/crates/bankvalve_queue/src/core/waiting_steps.rs
@@ -8,7 +8,7 @@
 use crate::ledger::{JobOutcome, JobRecord, TaskPhase, TimeRecord};
 
 /// Multiple of its objective after which a job earns nothing.
-const LATE_FACTOR: f64 = 3.0;
+const MAX_USEFUL_FACTOR: f64 = 3.0;
 
 /// A step with tasks that wait for placement.
 #[derive(Clone, Debug)]
@@ -24,10 +24,10 @@
     /// Whether the tasks are long-running: they have no end that could be late.
     lasting: bool,
     /// Latest start with which the job finishes within its objective, in Unix milliseconds.
-    on_time_ms: i64,
+    latest_start_ms: i64,
     begin_ms: i64,
     /// Latest start with which the job still earns something, in Unix milliseconds.
-    late_ms: i64,
+    latest_useful_start_ms: i64,
 }
 
 /// How late a job can finish at the earliest.
@@ -43,7 +43,7 @@
 }
 
 /// Added to the class of steps beyond their customers' shares.
-const BEYOND_CLASS: u32 = 4;
+const BEYOND_SHARE_CLASS: u32 = 4;
 
 /// Class of a waiting step, and its place in the class. Smaller ranks come first.
 pub(super) type WaitingRank = (u32, i64);
@@ -54,9 +54,9 @@
 impl WaitingStep {
     fn new(job: &JobRecord, key: StepKey, tasks: u32, turn: Option<JobTurn>) -> Self {
         let chains = job.spec.chains_ms();
-        let whole = chains.iter().copied().max().unwrap_or(0) as f64;
-        let rest = chains[usize::from(key.step)] as f64;
-        let objective = job.terms.stretch * whole + job.terms.target_ms as f64;
+        let longest = chains.iter().copied().max().unwrap_or(0) as f64;
+        let remaining = chains[usize::from(key.step)] as f64;
+        let objective = job.terms.stretch * longest + job.terms.target_ms as f64;
         let begin = match job.spec.due_ms(key.time) {
             0 => job.accepted_at,
             due => due,
@@ -73,8 +73,8 @@
             priority: job.terms.priority,
             lasting: step.lasting,
             begin_ms: begin as i64,
-            on_time_ms: (begin + objective - rest) as i64,
-            late_ms: (begin + LATE_FACTOR * objective - rest) as i64,
+            latest_start_ms: (begin + objective - remaining) as i64,
+            latest_useful_start_ms: (begin + MAX_USEFUL_FACTOR * objective - remaining) as i64,
         }
     }
 
@@ -91,9 +91,9 @@
     /// Returns how late its job can finish if it starts at a time of day.
     pub(super) fn lateness(&self, wall_ms: u64) -> Lateness {
         let now = wall_ms as i64;
-        if self.priority == 0 || self.lasting || now <= self.on_time_ms {
+        if self.priority == 0 || self.lasting || now <= self.latest_start_ms {
             Lateness::InTime
-        } else if now <= self.late_ms {
+        } else if now <= self.latest_useful_start_ms {
             Lateness::Late
         } else {
             Lateness::TooLate
@@ -116,11 +116,11 @@
             Lateness::TooLate => 3,
         };
         let class = if self.is_beyond_share(now) {
-            class + BEYOND_CLASS
+            class + BEYOND_SHARE_CLASS
         } else {
             class
         };
-        (class, self.on_time_ms)
+        (class, self.latest_start_ms)
     }
 }
 
@@ -172,7 +172,7 @@
         let mut stops = Vec::new();
         if job.outcome != JobOutcome::Open {
             for (time, record) in &job.times {
-                placed_tasks(id, *time, record, &mut stops);
+                add_placed_tasks(id, *time, record, &mut stops);
             }
         } else {
             for (time, record) in &job.times {
@@ -190,7 +190,7 @@
                         continue;
                     }
                     if gang_is_partial(spec, waiting) {
-                        placed_of_step(key, record, &mut stops);
+                        add_placed_in_step(key, record, &mut stops);
                     } else {
                         lead.waiting
                             .insert(key, WaitingStep::new(job, key, waiting, turn));
@@ -210,14 +210,19 @@
     spec.gang && waiting < spec.count
 }
 
-fn placed_tasks(job: JobId, time: u32, record: &TimeRecord, into: &mut Vec<(TaskKey, WorkerId)>) {
+fn add_placed_tasks(
+    job: JobId,
+    time: u32,
+    record: &TimeRecord,
+    into: &mut Vec<(TaskKey, WorkerId)>,
+) {
     for number in 0..record.steps.len() {
         let step = number as u16;
-        placed_of_step(StepKey { job, time, step }, record, into);
+        add_placed_in_step(StepKey { job, time, step }, record, into);
     }
 }
 
-fn placed_of_step(key: StepKey, record: &TimeRecord, into: &mut Vec<(TaskKey, WorkerId)>) {
+fn add_placed_in_step(key: StepKey, record: &TimeRecord, into: &mut Vec<(TaskKey, WorkerId)>) {
     let tasks = &record.steps[usize::from(key.step)].tasks;
     for (index, task) in tasks.iter().enumerate() {
         if let TaskPhase::Placed { worker, .. } = &task.phase {
--- a/crates/bankvalve_queue/src/core/worker_reports.rs
+++ b/crates/bankvalve_queue/src/core/worker_reports.rs
@@ -16,15 +16,15 @@
 use crate::worker::{EndReport, HoldReport, RunReport};
 
 /// Weight of one task in the average error of a queue's run time estimates.
-const GUESS_WEIGHT: f64 = 0.02;
+const ESTIMATE_ERROR_WEIGHT: f64 = 0.02;
 /// Minimum ratio of a task's measured to its estimated run time. Smaller ratios count as this one.
-const LEAST_RATIO: f64 = 0.05;
+const MIN_RUN_TIME_RATIO: f64 = 0.05;
 
 /// Run time beyond which the failure of a long-running task does not count against its worker. Such tasks may
 /// fail at any time and never end as done, which would reset the count of failures: three failures within
 /// hours put a worker into back-off, and each later one for up to 24 s. A worker that fails what it starts
 /// does so within its shortest back-off.
-const SERVED_LIFE: Duration = Duration::from_secs(3);
+const START_FAILURE_WINDOW: Duration = Duration::from_secs(3);
 
 /// A run that ended with its worker.
 struct LostRun {
@@ -34,23 +34,23 @@
     saved: String,
     why: String,
     /// Whether the evidence of its worker's end has not been committed before.
-    is_news: bool,
+    has_new_evidence: bool,
 }
 
 impl EntryCore {
     pub(super) fn handle_report(&mut self, id: &WorkerId, sent_at: CoreTime, report: &HoldReport) {
         for end in &report.ended {
-            self.take_end(id, end);
+            self.handle_end(id, end);
         }
-        self.take_running(id, &report.running);
+        self.handle_running(id, &report.running);
         self.end_due_trials(id);
-        self.settle_missing(id, sent_at, report);
-        self.judge_progress(id, sent_at, &report.running);
+        self.end_missing_runs(id, sent_at, report);
+        self.check_progress(id, sent_at, &report.running);
     }
 
-    fn take_end(&mut self, id: &WorkerId, end: &EndReport) {
+    fn handle_end(&mut self, id: &WorkerId, end: &EndReport) {
         let now = self.now;
-        let kept_first = self.enforces(SiteGuard::KeptEnds);
+        let waits_for_commit = self.enforces(SiteGuard::KeptEnds);
         let Some(lead) = self.lead.as_deref_mut() else {
             return;
         };
@@ -61,8 +61,8 @@
             return;
         };
         if end.number <= state.last_end_seen {
-            let held = state.runs.get(&end.task);
-            if held.is_some_and(|live| live.run == end.run) {
+            let known = state.runs.get(&end.task);
+            if known.is_some_and(|live| live.run == end.run) {
                 let seen = state.last_end_seen;
                 self.counters.count("ends", "passed_over");
                 self.log_often("runs", "end_passed_over", || {
@@ -77,47 +77,49 @@
             return;
         }
         state.last_end_seen = end.number;
-        if !kept_first {
+        if !waits_for_commit {
             state.last_end_committed = end.number;
         }
         lead.placement_due = true;
         lead.begun.insert(end.task.step.job);
-        let held = state
+        let is_known_run = state
             .runs
             .get(&end.task)
             .is_some_and(|live| live.run == end.run);
         let mut ran = Duration::ZERO;
-        let mut guess = Duration::ZERO;
-        let mut served = false;
-        if held {
+        let mut estimated = Duration::ZERO;
+        let mut outlived_start = false;
+        if is_known_run {
             if let Some(live) = state.remove_run(&end.task) {
                 ran = now.saturating_sub(live.began);
-                served = live.lasting && ran > SERVED_LIFE;
+                outlived_start = live.lasting && ran > START_FAILURE_WINDOW;
                 if live.measured && end.saved.is_empty() {
-                    guess = live.estimate;
+                    estimated = live.estimate;
                 }
             }
         }
         let job = end.task.step.job;
-        if end.how == EndKind::Done && !guess.is_zero() {
+        if end.how == EndKind::Done && !estimated.is_zero() {
             let queue = self.book.job(job).map(|job| job.spec.queue.clone());
-            let ratio = (ran.as_secs_f64() / guess.as_secs_f64())
-                .max(LEAST_RATIO)
+            let ratio = (ran.as_secs_f64() / estimated.as_secs_f64())
+                .max(MIN_RUN_TIME_RATIO)
                 .ln();
             let error = lead
                 .estimate_error
                 .entry(queue.unwrap_or_default())
                 .or_insert(ratio);
-            *error += GUESS_WEIGHT * (ratio - *error);
+            *error += ESTIMATE_ERROR_WEIGHT * (ratio - *error);
             state.note_slowness(ratio - *error);
         }
-        let may_rest = self.settings.without != Some(PolicySwitch::FailureRest);
-        let rests = match end.how {
+        let may_back_off = self.settings.without != Some(PolicySwitch::FailureRest);
+        let backs_off = match end.how {
             EndKind::Done => state.note_result(job, true, now),
-            EndKind::Failed if may_rest && !served => state.note_result(job, false, now),
+            EndKind::Failed if may_back_off && !outlived_start => {
+                state.note_result(job, false, now)
+            }
             _ => false,
         };
-        if rests {
+        if backs_off {
             self.counters.count("workers", "rest");
             self.log(
                 "workers",
@@ -135,8 +137,8 @@
         let effect = Effect::AcknowledgeEnd(incarnation, end.number);
         if self.is_current(end.task, end.run) {
             self.propose_end(end.task, end.run, end.how, end.saved.clone(), effect);
-        } else if end.how == EndKind::Done && self.is_late_done(end.task, end.run) {
-            self.take_back_later_runs(end.task);
+        } else if end.how == EndKind::Done && self.is_late_success(end.task, end.run) {
+            self.cancel_later_runs(end.task);
             self.propose_end(end.task, end.run, end.how, end.saved.clone(), effect);
         } else {
             if end.how == EndKind::Done && self.book.job(job).is_none() {
@@ -157,7 +159,7 @@
     }
 
     /// Returns whether a successful end is that of a run that was declared lost, of a task not done since.
-    fn is_late_done(&self, task: TaskKey, run: u64) -> bool {
+    fn is_late_success(&self, task: TaskKey, run: u64) -> bool {
         let Some(job) = self.book.job(task.step.job) else {
             return false;
         };
@@ -170,7 +172,7 @@
 
     /// Cancels what was placed since for a task that turns out to be done, or for all members of its gang.
     /// Runs that have not been ordered are dropped, the others are stopped.
-    fn take_back_later_runs(&mut self, task: TaskKey) {
+    fn cancel_later_runs(&mut self, task: TaskKey) {
         let Some(job) = self.book.job(task.step.job) else {
             return;
         };
@@ -211,10 +213,10 @@
         effect: Effect,
     ) {
         let at = self.wall;
-        self.keep_end(task, run, how, saved, at, effect);
+        self.commit_end(task, run, how, saved, at, effect);
     }
 
-    fn keep_end(
+    fn commit_end(
         &mut self,
         task: TaskKey,
         run: u64,
@@ -237,7 +239,7 @@
         self.propose(event, effect);
     }
 
-    fn take_running(&mut self, id: &WorkerId, running: &[RunReport]) {
+    fn handle_running(&mut self, id: &WorkerId, running: &[RunReport]) {
         let now = self.now;
         for report in running {
             let spec = self.spec_of(report.task);
@@ -283,8 +285,8 @@
 
     /// Ends runs that the worker lists neither as running nor as ended: they never started, or no longer
     /// exist.
-    fn settle_missing(&mut self, id: &WorkerId, sent_at: CoreTime, report: &HoldReport) {
-        let newer = self.enforces(SiteGuard::NewerList);
+    fn end_missing_runs(&mut self, id: &WorkerId, sent_at: CoreTime, report: &HoldReport) {
+        let requires_newer = self.enforces(SiteGuard::NewerList);
         let Some(lead) = self.lead.as_deref_mut() else {
             return;
         };
@@ -299,16 +301,16 @@
         };
         let mut missing = Vec::new();
         for (task, live) in &state.runs {
-            let settled = match live.phase {
+            let is_known_gone = match live.phase {
                 RunPhase::Adopted => true,
                 RunPhase::Stopping {
                     confirmed: Some(at),
-                } => at < sent_at || !newer,
+                } => at < sent_at || !requires_newer,
                 // The start was confirmed before the list was requested, so the list is newer.
-                RunPhase::Running { since } => since < sent_at || !newer,
+                RunPhase::Running { since } => since < sent_at || !requires_newer,
                 _ => false,
             };
-            if settled && !listed(task, live.run) {
+            if is_known_gone && !listed(task, live.run) {
                 let how = live.ended_as.unwrap_or(EndKind::NeverRan);
                 missing.push((*task, live.run, how, live.saved.clone()));
             }
@@ -351,7 +353,7 @@
         self.counters.count("ends", how.as_str());
         if self.is_current(task, run) {
             let at = self.last_contact_with_run(id, how);
-            self.keep_end(task, run, how, saved, at, Effect::None);
+            self.commit_end(task, run, how, saved, at, Effect::None);
         }
     }
 
@@ -395,18 +397,18 @@
             run: live.run,
             how: self.end_with_worker(state, &loss, task, live),
             saved: live.saved.clone(),
-            is_news: live.crash.is_none(),
+            has_new_evidence: live.crash.is_none(),
             why: format!("{}, {}", end.as_str(), live.summary(now)),
         };
         let runs: Vec<LostRun> = state.runs.iter().map(lost).collect();
         let detail = format!("{}, {}", end.as_str(), state.summary(now));
         self.log("workers", "lost", id.to_string(), detail);
         self.counters.count("workers", "lost");
-        let proof = |lost: &LostRun| matches!(lost.how, EndKind::Crashed(evidence) if evidence.weight == CrashWeight::Proof);
-        self.note_worker_loss(id, runs.iter().any(proof));
+        let is_proof = |lost: &LostRun| matches!(lost.how, EndKind::Crashed(evidence) if evidence.weight == CrashWeight::Proof);
+        self.note_worker_loss(id, runs.iter().any(is_proof));
         for lost in runs {
             self.end_without_report(id, lost.task, lost.run, lost.how, lost.saved, &lost.why);
-            if lost.is_news && matches!(lost.how, EndKind::Crashed(_)) {
+            if lost.has_new_evidence && matches!(lost.how, EndKind::Crashed(_)) {
                 self.log_crash(lost.task);
             }
         }
--- a/crates/bankvalve_queue/src/core/worker_selection.rs
+++ b/crates/bankvalve_queue/src/core/worker_selection.rs
@@ -3,7 +3,7 @@
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
 
-use super::advice::{StepAdvice, ASK_LIMIT};
+use super::advice::{StepAdvice, MAX_ADVICE_WORKERS};
 use super::lead_state::LeadState;
 use super::live_run::RunLoad;
 use super::placement::{Assignment, StepToPlace};
@@ -12,16 +12,16 @@
 use crate::job::TaskSize;
 
 /// Width of a slowness class, as a logarithm of run time. Workers of one class count as equally fast.
-const SLOWNESS_STEP: f64 = 0.06;
+const SLOWNESS_CLASS_WIDTH: f64 = 0.06;
 /// Number of workers to request advice about for each task of a step.
-const ASK_PER_TASK: usize = 4;
+const ADVICE_WORKERS_PER_TASK: usize = 4;
 /// Minimum number of workers to request advice about for a step.
-const ASK_LEAST: usize = 16;
+const MIN_ADVICE_WORKERS: usize = 16;
 /// Maximum number of workers to request advice about at once for a step whose tasks start one by one.
-const ASK_MOST: usize = 100;
+const MAX_ADVICE_WORKERS_SINGLE: usize = 100;
 /// Minimum number of workers to request advice about for a gang, which needs capacity for all its members
 /// among the workers that may run it.
-const GANG_ASK_LEAST: usize = 100;
+const MIN_ADVICE_WORKERS_GANG: usize = 100;
 
 /// Returns whether a worker is eligible for tasks of a step, whatever free capacity it has.
 pub(super) fn is_eligible(
@@ -39,7 +39,7 @@
         && !state.entry.leaving
         && (now >= state.backoff_until || step.past_deadline);
     if !usable
-        || step.tried_on.contains(id)
+        || step.crashed_workers.contains(id)
         || !step.resources.fits(&state.entry.room)
         || !state.is_responsive(now)
     {
@@ -61,8 +61,8 @@
     step: &StepToPlace,
     now: CoreTime,
 ) -> Vec<(&'a WorkerId, &'a WorkerState)> {
-    let worker_states = lead.worker_states.iter();
-    worker_states
+    let workers = lead.worker_states.iter();
+    workers
         .filter(|entry| is_eligible(*entry, step, now))
         .collect()
 }
@@ -75,36 +75,36 @@
 }
 
 /// Selects workers for as many tasks as fit; for a gang, for all tasks or none.
-pub(super) fn choose(
+pub(super) fn assign_workers(
     step: &StepToPlace,
-    worker_states: &[(&WorkerId, &WorkerState)],
+    workers: &[(&WorkerId, &WorkerState)],
     now: CoreTime,
 ) -> Assignment {
     if step.spec.gang && step.spec.same_rack {
-        let choice = choose_on_one_rack(step, worker_states, now);
-        if !choice.is_empty() {
-            return choice;
+        let assignment = assign_on_one_rack(step, workers, now);
+        if !assignment.is_empty() {
+            return assignment;
         }
     }
-    choose_among(step, worker_states, now)
+    assign_among(step, workers, now)
 }
 
-fn choose_on_one_rack(
+fn assign_on_one_rack(
     step: &StepToPlace,
-    worker_states: &[(&WorkerId, &WorkerState)],
+    workers: &[(&WorkerId, &WorkerState)],
     now: CoreTime,
 ) -> Assignment {
     let mut racks: BTreeMap<&str, Vec<(&WorkerId, &WorkerState)>> = BTreeMap::new();
-    for (id, state) in worker_states {
+    for (id, state) in workers {
         if let Some(rack) = rack_of(state) {
             racks.entry(rack).or_default().push((*id, *state));
         }
     }
-    let whole = racks
+    let first_complete = racks
         .values()
-        .map(|worker_states| choose_among(step, worker_states, now))
-        .find(|choice| !choice.is_empty());
-    whole.unwrap_or_default()
+        .map(|workers| assign_among(step, workers, now))
+        .find(|assignment| !assignment.is_empty());
+    first_complete.unwrap_or_default()
 }
 
 /// Returns the rack of a worker, which is its last label.
@@ -116,13 +116,13 @@
 struct Candidate<'a> {
     id: &'a WorkerId,
     state: &'a WorkerState,
-    room: TaskSize,
-    held: usize,
-    near: bool,
+    free: TaskSize,
+    tasks_held: usize,
+    near_data: bool,
     /// Whether the worker is in back-off. Such a worker is used only if no other one has capacity.
-    rests: bool,
+    in_backoff: bool,
     /// Slowness class of the worker; a higher one is slower.
-    slow: i64,
+    slowness_class: i64,
 }
 
 impl<'a> Candidate<'a> {
@@ -131,16 +131,16 @@
         Self {
             id,
             state,
-            room: state.free_for(step.key, now),
-            held: tasks_on(state, step.key),
-            near: rack.is_some_and(|rack| state.entry.labels.contains(rack)),
-            rests: now < state.backoff_until,
-            slow: (state.slowness / SLOWNESS_STEP).round() as i64,
+            free: state.free_for(step.key, now),
+            tasks_held: tasks_on(state, step.key),
+            near_data: rack.is_some_and(|rack| state.entry.labels.contains(rack)),
+            in_backoff: now < state.backoff_until,
+            slowness_class: (state.slowness / SLOWNESS_CLASS_WIDTH).round() as i64,
         }
     }
 
-    fn takes(&self, wanted: &TaskSize, limit: usize) -> bool {
-        wanted.fits(&self.room) && self.held < limit
+    fn can_take(&self, wanted: &TaskSize, limit: usize) -> bool {
+        wanted.fits(&self.free) && self.tasks_held < limit
     }
 
     /// Returns the rank of the worker for a step; the smallest is the best. The criteria, in this order:
@@ -152,73 +152,89 @@
     /// 5. For urgent steps, fast workers.
     /// 6. Workers with the least CPU left after the assignment.
     fn rank(&self, step: &StepToPlace) -> (bool, u64, bool, Reverse<bool>, i64, u64) {
-        let left = self.room.minus(&step.resources).millicores;
-        let slow = if step.fast_first { self.slow } else { 0 };
-        let known = if step.has_trials() {
+        let left = self.free.minus(&step.resources).millicores;
+        let slowness_class = if step.fast_first {
+            self.slowness_class
+        } else {
+            0
+        };
+        let known_since = if step.has_trials() {
             self.state.known_at.as_secs()
         } else {
             0
         };
         let failed = step.healthy_first && self.state.last_run_failed();
-        (self.rests, known, failed, Reverse(self.near), slow, left)
+        (
+            self.in_backoff,
+            known_since,
+            failed,
+            Reverse(self.near_data),
+            slowness_class,
+            left,
+        )
     }
 }
 
-fn choose_among(
+fn assign_among(
     step: &StepToPlace,
-    worker_states: &[(&WorkerId, &WorkerState)],
+    workers: &[(&WorkerId, &WorkerState)],
     now: CoreTime,
 ) -> Assignment {
     let limit = step.worker_limit();
-    let mut free: Vec<Candidate<'_>> = worker_states
+    let mut candidates: Vec<Candidate<'_>> = workers
         .iter()
         .map(|(id, state)| Candidate::new(id, state, step, now))
-        .filter(|candidate| candidate.takes(&step.resources_on(candidate.state), limit))
+        .filter(|candidate| candidate.can_take(&step.resources_on(candidate.state), limit))
         .collect();
-    let mut choice = Vec::new();
+    let mut assignment = Vec::new();
     for task in &step.tasks {
-        let best = free
+        let best = candidates
             .iter_mut()
-            .filter(|candidate| candidate.takes(&step.resources_of(task, candidate.state), limit))
+            .filter(|candidate| {
+                candidate.can_take(&step.resources_of(task, candidate.state), limit)
+            })
             .filter(|candidate| step.may_join(task, candidate.state, now))
             .min_by_key(|candidate| candidate.rank(step));
         let Some(best) = best else {
             break;
         };
-        best.room = best.room.minus(&step.resources_of(task, best.state));
-        best.held += 1;
-        choice.push((*task, best.id.clone()));
+        best.free = best.free.minus(&step.resources_of(task, best.state));
+        best.tasks_held += 1;
+        assignment.push((*task, best.id.clone()));
     }
-    if step.spec.gang && choice.len() < step.tasks.len() {
-        choice.clear();
+    if step.spec.gang && assignment.len() < step.tasks.len() {
+        assignment.clear();
     }
-    choice
+    assignment
 }
 
-pub(super) fn workers_of(choice: &Assignment) -> Vec<WorkerId> {
-    let mut workers: Vec<WorkerId> = choice.iter().map(|(_, worker)| worker.clone()).collect();
+pub(super) fn workers_to_ask(assignment: &Assignment) -> Vec<WorkerId> {
+    let mut workers: Vec<WorkerId> = assignment
+        .iter()
+        .map(|(_, worker)| worker.clone())
+        .collect();
     workers.sort_unstable();
     workers.dedup();
-    workers.truncate(ASK_LIMIT);
+    workers.truncate(MAX_ADVICE_WORKERS);
     workers
 }
 
 /// Returns the workers for a step's first advice request: those with the most free capacity.
 pub(super) fn first_advice_request(
     step: &StepToPlace,
-    worker_states: &[(&WorkerId, &WorkerState)],
+    workers: &[(&WorkerId, &WorkerState)],
     now: CoreTime,
 ) -> Vec<WorkerId> {
-    workers_with_most_free(step, worker_states, wanted_workers(step), now)
+    workers_with_most_free(step, workers, advice_request_size(step), now)
 }
 
 /// Returns how many workers an advice request for a step covers.
-fn wanted_workers(step: &StepToPlace) -> usize {
-    let wanted = step.tasks.len() * ASK_PER_TASK;
+fn advice_request_size(step: &StepToPlace) -> usize {
+    let wanted = step.tasks.len() * ADVICE_WORKERS_PER_TASK;
     if step.spec.gang {
-        wanted.clamp(GANG_ASK_LEAST, ASK_LIMIT)
+        wanted.clamp(MIN_ADVICE_WORKERS_GANG, MAX_ADVICE_WORKERS)
     } else {
-        wanted.clamp(ASK_LEAST, ASK_MOST)
+        wanted.clamp(MIN_ADVICE_WORKERS, MAX_ADVICE_WORKERS_SINGLE)
     }
 }
 
@@ -226,26 +242,26 @@
 /// last run did not fail, these come before all others.
 pub(super) fn workers_with_most_free(
     step: &StepToPlace,
-    worker_states: &[(&WorkerId, &WorkerState)],
+    workers: &[(&WorkerId, &WorkerState)],
     wanted: usize,
     now: CoreTime,
 ) -> Vec<WorkerId> {
-    let room = |state: &WorkerState| {
+    let sort_key = |state: &WorkerState| {
         let failed = step.healthy_first && state.last_run_failed();
         (failed, Reverse(state.free_for(step.key, now).millicores))
     };
-    let rooms = worker_states.iter().enumerate();
-    let mut by_room: Vec<_> = rooms
-        .map(|(place, (_, state))| (room(state), place))
+    let indexed = workers.iter().enumerate();
+    let mut sorted: Vec<_> = indexed
+        .map(|(index, (_, state))| (sort_key(state), index))
         .collect();
-    if wanted < by_room.len() {
-        by_room.select_nth_unstable(wanted);
-        by_room.truncate(wanted);
+    if wanted < sorted.len() {
+        sorted.select_nth_unstable(wanted);
+        sorted.truncate(wanted);
     }
-    by_room.sort_unstable();
-    by_room
+    sorted.sort_unstable();
+    sorted
         .into_iter()
-        .map(|(_, place)| worker_states[place].0.clone())
+        .map(|(_, index)| workers[index].0.clone())
         .collect()
 }
 
@@ -256,15 +272,15 @@
     advice: &StepAdvice,
     now: CoreTime,
 ) -> Vec<WorkerId> {
-    let has_room = |state: &WorkerState| {
+    let has_capacity = |state: &WorkerState| {
         step.resources_on(state)
             .fits(&state.free_for(step.key, now))
     };
-    let worker_states: Vec<(&WorkerId, &WorkerState)> = lead
+    let workers: Vec<(&WorkerId, &WorkerState)> = lead
         .worker_states
         .iter()
-        .filter(|(id, state)| has_room(state) && is_eligible((id, state), step, now))
+        .filter(|(id, state)| has_capacity(state) && is_eligible((id, state), step, now))
         .filter(|(id, _)| !advice.is_known(id))
         .collect();
-    workers_with_most_free(step, &worker_states, wanted_workers(step), now)
+    workers_with_most_free(step, &workers, advice_request_size(step), now)
 }
