--- a/crates/bankvalve_queue/src/core/capacity_reclaim.rs
+++ b/crates/bankvalve_queue/src/core/capacity_reclaim.rs
@@ -23,13 +23,13 @@
 const URGENT_RECLAIM_DELAY: Duration = Duration::from_millis(60);
 /// Wait after which capacity is reclaimed for any other step: about the time of a short task.
 const RECLAIM_DELAY: Duration = Duration::from_millis(800);
-/// Number of capacity claims up to which a step that is not urgent may always add one. Reserved capacity is
-/// unused for a while.
+/// Number of claims by other steps below which a step that is not urgent may always claim capacity. Reserved
+/// capacity is unused for a while.
 const MIN_CLAIMS: usize = 2;
-/// Percentage of all capacity up to which such a step may add a claim if there are more. On a site of a
-/// thousand workers that receives about eight gangs of 40 each second, two claims leave it to chance whether
-/// the other gangs find capacity. 22 claims left a quarter of the capacity unused, and later batches earned
-/// 0.72 instead of 1.00 of their value.
+/// Percentage of all capacity that other steps may have claimed for a step that is not urgent to claim more,
+/// once there are [`MIN_CLAIMS`]. On a site of a thousand workers that receives about eight gangs of 40 each
+/// second, two claims leave it to chance whether the other gangs find capacity. 22 claims left a quarter of
+/// the capacity unused, and later batches earned 0.72 instead of 1.00 of their value.
 const MAX_RESERVED_PERCENT: u64 = 4;
 /// Time before capacity is planned again for a step for which it could not be: a plan covers all workers.
 const PLAN_RETRY_DELAY: Duration = Duration::from_millis(250);
--- a/crates/bankvalve_queue/src/core/worker_reports.rs
+++ b/crates/bankvalve_queue/src/core/worker_reports.rs
@@ -21,9 +21,9 @@
 const MIN_RUN_TIME_RATIO: f64 = 0.05;
 
 /// Run time beyond which the failure of a long-running task does not count against its worker. Such tasks may
-/// fail at any time and never end as done, which would reset the count of failures: three failures within
-/// hours put a worker into back-off, and each later one for up to 24 s. A worker that fails what it starts
-/// does so within its shortest back-off.
+/// fail at any time and never end as done, so that nothing resets the count of failures: three failures
+/// within hours put a worker into back-off, and each later one for up to 24 s. A worker that fails what it
+/// starts does so within its shortest back-off.
 const START_FAILURE_WINDOW: Duration = Duration::from_secs(3);
 
 /// A run that ended with its worker.
