--- a/crates/bankvalve_queue/src/core/advice.rs
+++ b/crates/bankvalve_queue/src/core/advice.rs
@@ -1,13 +1,15 @@
-//! Questions to the policy service, spread over the instances.
+//! Advice requests to the policy service, spread over the instances.
 //!
-//! The service answers one question at a time for each calling instance, so
-//! the leader has its peers ask too. Answers do not change and are kept;
-//! permits run out and are renewed before a start that needs one.
+//! The policy service decides which workers may run a step, and issues a permit for each of them. It answers
+//! one request at a time for each calling instance, so the leader has its peers send requests too. An
+//! instance that sends advice requests is an adviser; it is idle while it has none in flight. Which workers
+//! may run a step does not change and is remembered. Permits expire and are renewed before a start that needs
+//! one.
 //!
-//! The pattern that it answers: gangs of some 40 and up to 200 members of which a third of the
-//! workers may run a step, each worker that is asked about taking some milliseconds. One question
-//! after the other, each about a hundred, took a gang of 80 members five to nine seconds of the ten
-//! that it has. So a question about many is cut into parts that several instances ask at once.
+//! A request takes some milliseconds for each worker in it. Gangs have about 40 and up to 200 members, and a
+//! third of the workers may run a step. With one request after the other, each about a hundred workers, a
+//! gang of 80 members needed five to nine seconds of the ten that it has. So a request about many workers is
+//! split into parts that several instances send at once.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -20,73 +22,76 @@
 use crate::queue_table::AdviceRule;
 use crate::worker::{AdviceAnswer, AdviceRequest};
 
-/// Most workers that are asked about for a step at once, in parts; the service takes a hundred in one
-/// question.
-pub(super) const ASK_LIMIT: usize = 300;
-/// Workers in a part of a question, where there are enough instances to ask.
-const PART: usize = 40;
-/// Workers in one question, at most.
-const PART_MOST: usize = 100;
-/// Share of the instances that ask nothing which one step's question may take, as a divisor: parts
-/// cost the service more in all, so they become fewer as instances become busy. With a quarter,
-/// batches whose questions wait behind earned 0.80 of their worth in place of 1.00 in a backlog.
-const ADVISER_SHARE: usize = 12;
-/// A permit is used only this long before it runs out, since the order takes its way and may be
-/// repeated; the time that the start takes to be kept comes on top.
+/// Maximum number of workers to request advice about for a step at once, over all parts of the request. The
+/// policy service accepts a hundred in one request.
+pub(super) const MAX_ADVICE_WORKERS: usize = 300;
+/// Minimum number of workers in a part of a request that is split.
+const MIN_PART_WORKERS: usize = 40;
+/// Maximum number of workers in one request.
+const MAX_PART_WORKERS: usize = 100;
+/// Number of idle advisers for each part of a request. Splitting costs the service more in total, so requests
+/// have fewer parts as advisers become busy. When a request could use a quarter of the idle advisers, batches
+/// whose requests wait behind earned 0.80 instead of 1.00 of their value in a backlog.
+const IDLE_ADVISERS_PER_PART: usize = 12;
+/// Time before its expiry from which a permit is not used, because the start order needs time to arrive and
+/// may be repeated. The time to commit the start comes in addition.
 const PERMIT_MARGIN: Duration = Duration::from_millis(200);
-/// Questions that take longer go to some of the instances only, so that short ones do not wait.
-const LONG_QUESTION: Duration = Duration::from_millis(60);
-/// Time for the way of a question and its answer.
-const ASK_SLACK: Duration = Duration::from_millis(6);
-/// Wait beyond the reckoned time before a question is given up.
-const ASK_TIMEOUT: Duration = Duration::from_millis(900);
-/// Time between two looks for questions that had no answer.
-const ADVICE_SCAN: Duration = Duration::from_millis(20);
-/// Longest queue of questions at an instance, by time, to which another is added. Room is reserved until a
-/// question is answered, so a long queue reserves it for permits that come too late to be used.
-const ASK_AHEAD: Duration = Duration::from_secs(4);
-/// Pause after a question that got no answer.
-const ASK_PAUSE: Duration = Duration::from_millis(200);
+/// Duration above which a request is long. Long requests go to some of the instances only, so that short ones
+/// do not wait.
+const LONG_REQUEST: Duration = Duration::from_millis(60);
+/// Time for the round trip of a request and its answer.
+const REQUEST_ROUND_TRIP: Duration = Duration::from_millis(6);
+/// Time after which a request is abandoned if its answer has not come when expected.
+const LATE_ANSWER_TIMEOUT: Duration = Duration::from_millis(900);
+/// Time between two checks for requests without an answer.
+const TIMEOUT_SCAN_INTERVAL: Duration = Duration::from_millis(20);
+/// Longest backlog of requests of an instance, in time, to which another request is added. Capacity stays
+/// reserved until a request is answered, so a long backlog reserves it for permits that come too late.
+const MAX_ADVISER_BACKLOG: Duration = Duration::from_secs(4);
+/// Time before the next request for a step after the policy service answered that it is busy.
+const BUSY_RETRY_DELAY: Duration = Duration::from_millis(200);
 
-/// A permit for one worker.
+/// A permit to run the step on one worker.
 #[derive(Clone, Debug)]
 struct Permit {
     text: String,
     until: CoreTime,
 }
 
-/// A question on its way.
+/// An advice request in flight.
 #[derive(Debug)]
-struct AdviceFlight {
+struct InFlightAdvice {
     ticket: Ticket,
     adviser: PeerAddress,
     asked: Vec<WorkerId>,
-    /// When its answer is expected.
+    /// When the answer is expected.
     expected: CoreTime,
     long: bool,
     until: CoreTime,
 }
 
-/// What is known of the policy's answers for one step.
+/// What the policy service has answered for one step.
 #[derive(Debug, Default)]
 pub(super) struct StepAdvice {
+    /// Workers that may run the step, each with its last permit.
     good: BTreeMap<WorkerId, Permit>,
-    known: BTreeSet<WorkerId>,
-    flights: Vec<AdviceFlight>,
+    /// Workers about which the service has answered.
+    answered: BTreeSet<WorkerId>,
+    in_flight: Vec<InFlightAdvice>,
     retry_at: CoreTime,
 }
 
 impl StepAdvice {
-    pub(super) fn is_good(&self, worker: &WorkerId) -> bool {
+    pub(super) fn is_allowed(&self, worker: &WorkerId) -> bool {
         self.good.contains_key(worker)
     }
 
-    /// Workers that may run the step.
+    /// Returns the workers that may run the step.
     pub(super) fn good(&self) -> impl Iterator<Item = &WorkerId> {
         self.good.keys()
     }
 
-    /// Those whose permits hold until a time.
+    /// Returns the workers whose permits are valid beyond a time.
     pub(super) fn permitted(&self, until: CoreTime) -> impl Iterator<Item = &WorkerId> {
         let permits = self.good.iter();
         permits
@@ -95,67 +100,69 @@
     }
 
     pub(super) fn is_known(&self, worker: &WorkerId) -> bool {
-        self.known.contains(worker)
+        self.answered.contains(worker)
     }
 
-    /// The permit for a worker, if it holds until a time.
+    /// Returns the permit for a worker if it is valid beyond a time.
     pub(super) fn permit(&self, worker: &WorkerId, until: CoreTime) -> Option<&str> {
         let permit = self.good.get(worker)?;
         (permit.until > until).then_some(permit.text.as_str())
     }
 
-    pub(super) fn can_ask(&self, now: CoreTime) -> bool {
-        self.flights.is_empty() && now >= self.retry_at
+    pub(super) fn can_send_request(&self, now: CoreTime) -> bool {
+        self.in_flight.is_empty() && now >= self.retry_at
     }
 
-    /// Whether a question may be asked after the last one, whatever is on its way.
+    /// Returns whether the delay after a busy answer has passed, regardless of requests in flight.
     pub(super) fn may_retry(&self, now: CoreTime) -> bool {
         now >= self.retry_at
     }
 
-    /// Whether a question about a worker is on its way.
+    /// Returns whether a request about a worker is in flight.
     pub(super) fn is_asked(&self, worker: &WorkerId) -> bool {
-        let mut flights = self.flights.iter();
-        flights.any(|flight| flight.asked.contains(worker))
+        let mut in_flight = self.in_flight.iter();
+        in_flight.any(|request| request.asked.contains(worker))
     }
 
-    /// Whether a question is on its way about workers of which nothing is known.
+    /// Returns whether a request is in flight about workers of which nothing is known.
     pub(super) fn explores(&self) -> bool {
-        let mut asked = self.flights.iter().flat_map(|flight| &flight.asked);
-        asked.any(|worker| !self.known.contains(worker))
+        let mut asked = self.in_flight.iter().flat_map(|request| &request.asked);
+        asked.any(|worker| !self.answered.contains(worker))
     }
 
-    pub(super) fn is_new(&self) -> bool {
-        self.known.is_empty()
+    pub(super) fn has_no_answer(&self) -> bool {
+        self.answered.is_empty()
     }
 }
 
 impl EntryCore {
-    /// Asks about workers for a step, in parts; each answer leads to another placement. Returns when
-    /// the last one is expected.
+    /// Requests advice about workers for a step, in parts. Each answer causes another placement pass. Returns
+    /// when the last answer is expected.
     pub(super) fn request_advice(
         &mut self,
         step: StepKey,
         rule: AdviceRule,
         workers: &[WorkerId],
     ) -> CoreTime {
-        let part = self.part_of_question(rule, workers.len());
+        let part = self.part_size(rule, workers.len());
         let parts = workers.chunks(part);
-        let expected = parts.map(|part| self.ask_part(step, rule, part.to_vec()));
+        let expected = parts.map(|part| self.request_part(step, rule, part.to_vec()));
         expected.max().unwrap_or(self.now)
     }
 
-    /// Workers in each part of a question about so many: few where that is sooner and instances are
-    /// at hand that ask nothing else.
-    fn part_of_question(&self, rule: AdviceRule, workers: usize) -> usize {
-        if rule.time_for(workers) <= LONG_QUESTION {
-            return PART_MOST;
+    /// Returns how many workers go into each part of a request. Parts are small if the request would take
+    /// long and idle advisers can share it.
+    fn part_size(&self, rule: AdviceRule, workers: usize) -> usize {
+        if rule.time_for(workers) <= LONG_REQUEST {
+            return MAX_PART_WORKERS;
         }
-        let parts = (self.idle_advisers() / ADVISER_SHARE).max(1);
-        workers.div_ceil(parts).clamp(PART, PART_MOST)
+        let parts = (self.idle_advisers() / IDLE_ADVISERS_PER_PART).max(1);
+        workers
+            .div_ceil(parts)
+            .clamp(MIN_PART_WORKERS, MAX_PART_WORKERS)
     }
 
-    /// Peers that live and ask nothing, as far as is reckoned.
+    /// Returns the number of live peers that are estimated to have no request pending.
     pub(super) fn idle_advisers(&self) -> usize {
         let now = self.now;
         let busy = self.lead.as_deref().map(|lead| &lead.adviser_busy);
@@ -169,27 +176,32 @@
         peers.filter(|(address, _)| !is_busy(address)).count()
     }
 
-    fn ask_part(&mut self, step: StepKey, rule: AdviceRule, workers: Vec<WorkerId>) -> CoreTime {
+    fn request_part(
+        &mut self,
+        step: StepKey,
+        rule: AdviceRule,
+        workers: Vec<WorkerId>,
+    ) -> CoreTime {
         let now = self.now;
-        let takes = rule.time_for(workers.len());
-        let adviser = self.choose_adviser(takes);
+        let duration = rule.time_for(workers.len());
+        let adviser = self.choose_adviser(duration);
         let ticket = self.take_ticket();
         let own = self.settings.address;
         let Some(lead) = self.lead.as_deref_mut() else {
             return now;
         };
         let busy = lead.adviser_busy.entry(adviser).or_insert(now);
-        *busy = (*busy).max(now) + takes + ASK_SLACK;
-        let until = *busy + ASK_TIMEOUT;
+        *busy = (*busy).max(now) + duration + REQUEST_ROUND_TRIP;
+        let until = *busy + LATE_ANSWER_TIMEOUT;
         let expected = *busy;
         let time = until.saturating_sub(now);
         let advice = lead.advice.entry(step).or_default();
-        advice.flights.push(AdviceFlight {
+        advice.in_flight.push(InFlightAdvice {
             ticket,
             adviser,
             asked: workers.clone(),
             expected,
-            long: takes > LONG_QUESTION,
+            long: duration > LONG_REQUEST,
             until,
         });
         let ask = AdviceRequest {
@@ -198,9 +210,9 @@
             time,
         };
         self.counters.count("calls", "advice");
-        if takes > LONG_QUESTION {
+        if duration > LONG_REQUEST {
             let detail = format!(
-                "{} workers by {adviser}, expected after {:?}",
+                "{} workers through {adviser}, answer expected after {:?}",
                 ask.workers.len(),
                 expected.saturating_sub(now)
             );
@@ -214,8 +226,9 @@
         expected
     }
 
-    /// The instance that would answer first; long questions leave a third of them free.
-    fn choose_adviser(&self, takes: Duration) -> PeerAddress {
+    /// Returns the instance that is expected to answer first. Long requests leave a third of the instances
+    /// free.
+    fn choose_adviser(&self, duration: Duration) -> PeerAddress {
         let own = self.settings.address;
         let mut advisers: Vec<PeerAddress> = self
             .live_peers()
@@ -225,8 +238,8 @@
         advisers.sort_unstable();
         advisers.push(own);
         let short_only = advisers.len().div_ceil(3);
-        let spare = self.uses(PolicySwitch::ShortQuestions);
-        if spare && takes > LONG_QUESTION && advisers.len() > short_only {
+        let keeps_some_free = self.uses(PolicySwitch::ShortQuestions);
+        if keeps_some_free && duration > LONG_REQUEST && advisers.len() > short_only {
             advisers.truncate(advisers.len() - short_only);
         }
         let now = self.now;
@@ -235,24 +248,24 @@
             let until = lead.and_then(|lead| lead.adviser_busy.get(address).copied());
             until.unwrap_or(now).max(now)
         };
-        let from_own = |address: &PeerAddress| u8::from(*address != own);
+        let is_remote = |address: &PeerAddress| u8::from(*address != own);
         advisers
             .iter()
             .copied()
-            .min_by_key(|address| (busy(address), from_own(address)))
+            .min_by_key(|address| (busy(address), is_remote(address)))
             .unwrap_or(own)
     }
 
-    /// Tells whether an instance is at hand that would soon ask a question.
-    pub(super) fn has_adviser_soon(&self, rule: AdviceRule, workers: usize) -> bool {
-        let takes = rule.time_for(workers.min(PART));
-        let adviser = self.choose_adviser(takes);
+    /// Returns whether the backlog of some instance is short enough for another request.
+    pub(super) fn has_available_adviser(&self, rule: AdviceRule, workers: usize) -> bool {
+        let duration = rule.time_for(workers.min(MIN_PART_WORKERS));
+        let adviser = self.choose_adviser(duration);
         let busy = self.lead.as_deref().map(|lead| &lead.adviser_busy);
         let until = busy.and_then(|busy| busy.get(&adviser));
-        until.is_none_or(|until| *until <= self.now + ASK_AHEAD)
+        until.is_none_or(|until| *until <= self.now + MAX_ADVISER_BACKLOG)
     }
 
-    /// Carries a question for the leader.
+    /// Sends an advice request of the leader to the policy service.
     pub(super) fn proxy_advice(&mut self, from: PeerAddress, ticket: Ticket, ask: AdviceRequest) {
         let own_ticket = self.take_ticket();
         self.proxied_advice.insert(own_ticket, (from, ticket));
@@ -276,35 +289,39 @@
         let Some(lead) = self.lead.as_deref_mut() else {
             return;
         };
-        let place = |advice: &StepAdvice| {
-            let mut flights = advice.flights.iter();
-            flights.position(|flight| flight.ticket == ticket)
+        let position_of = |advice: &StepAdvice| {
+            let mut in_flight = advice.in_flight.iter();
+            in_flight.position(|request| request.ticket == ticket)
         };
         let mut all = lead.advice.iter_mut();
-        let found = all.find_map(|(step, advice)| Some((*step, place(advice)?, advice)));
-        let Some((step, place, advice)) = found else {
+        let matching = all.find_map(|(step, advice)| Some((*step, position_of(advice)?, advice)));
+        let Some((step, position, advice)) = matching else {
             return;
         };
-        let flight = advice.flights.swap_remove(place);
+        let request = advice.in_flight.swap_remove(position);
         lead.placement_due = true;
-        let kind = match &answer {
+        let result = match &answer {
             AdviceAnswer::Good { permits, .. } => {
-                format!("{} good of {}", permits.len(), flight.asked.len())
+                format!(
+                    "{} of {} workers may run it",
+                    permits.len(),
+                    request.asked.len()
+                )
             }
             other => format!("{other:?}"),
         };
-        let late = now.saturating_sub(flight.expected);
+        let late = now.saturating_sub(request.expected);
         match answer {
             AdviceAnswer::Good { permits, valid_ms } => {
                 let valid = Duration::from_millis(valid_ms).saturating_sub(PERMIT_MARGIN);
-                advice.known.extend(flight.asked);
+                advice.answered.extend(request.asked);
                 for (worker, text) in permits {
                     let until = now + valid;
                     advice.good.insert(worker, Permit { text, until });
                 }
             }
             AdviceAnswer::Busy => {
-                advice.retry_at = now + ASK_PAUSE;
+                advice.retry_at = now + BUSY_RETRY_DELAY;
                 self.counters.count("retries", "advice_busy");
             }
             AdviceAnswer::NoReply => {
@@ -312,12 +329,12 @@
                 self.counters.count("retries", "advice_unanswered");
             }
         }
-        if flight.long {
+        if request.long {
             self.log(
                 "advice",
                 "answer",
                 step.to_string(),
-                format!("{kind}, {late:?} late"),
+                format!("{result}, {late:?} after the expected time"),
             );
         }
     }
@@ -335,7 +352,7 @@
         }
     }
 
-    /// Forgets the permits for a worker: they were for the process before.
+    /// Expires the permits for a worker, which were issued for its previous process.
     pub(super) fn drop_permits_of(&mut self, worker: &WorkerId) {
         let Some(lead) = self.lead.as_deref_mut() else {
             return;
@@ -346,20 +363,20 @@
         }
     }
 
-    /// Asks others in place of a peer that does not answer.
+    /// Drops the requests in flight at a peer that does not respond, so that other instances get them.
     pub(super) fn reassign_advice(&mut self, peer: PeerAddress) {
         let Some(lead) = self.lead.as_deref_mut() else {
             return;
         };
         lead.adviser_busy.remove(&peer);
         for advice in lead.advice.values_mut() {
-            let before = advice.flights.len();
-            advice.flights.retain(|flight| flight.adviser != peer);
-            lead.placement_due |= advice.flights.len() < before;
+            let before = advice.in_flight.len();
+            advice.in_flight.retain(|request| request.adviser != peer);
+            lead.placement_due |= advice.in_flight.len() < before;
         }
     }
 
-    /// Gives up questions that have had no answer for too long.
+    /// Abandons requests that have had no answer for too long.
     pub(super) fn run_advice(&mut self) {
         let now = self.now;
         let Some(lead) = self.lead.as_deref_mut() else {
@@ -368,20 +385,23 @@
         if now < lead.next_advice_scan {
             return;
         }
-        lead.next_advice_scan = now + ADVICE_SCAN;
-        let mut lost = Vec::new();
+        lead.next_advice_scan = now + TIMEOUT_SCAN_INTERVAL;
+        let mut late_advisers = Vec::new();
         for advice in lead.advice.values_mut() {
-            let flights = advice.flights.iter().filter(|flight| now > flight.until);
-            lost.extend(flights.map(|flight| flight.adviser));
-            advice.flights.retain(|flight| now <= flight.until);
+            let expired = advice
+                .in_flight
+                .iter()
+                .filter(|request| now > request.until);
+            late_advisers.extend(expired.map(|request| request.adviser));
+            advice.in_flight.retain(|request| now <= request.until);
         }
-        lead.placement_due |= !lost.is_empty();
+        lead.placement_due |= !late_advisers.is_empty();
         self.counters
-            .count_many("retries", "advice_unanswered", lost.len() as u64);
-        // An instance that is behind what is reckoned, with questions of a leader before, stays behind for as long as
-        // new ones replace those that are given up.
-        let free_at = now + ASK_AHEAD + ASK_TIMEOUT;
-        for adviser in lost {
+            .count_many("retries", "advice_unanswered", late_advisers.len() as u64);
+        // The backlog of the instance may be longer than estimated, for example because of requests of a
+        // previous leader. It would never shrink if each abandoned request were replaced by a new one there.
+        let free_at = now + MAX_ADVISER_BACKLOG + LATE_ANSWER_TIMEOUT;
+        for adviser in late_advisers {
             let busy = lead.adviser_busy.entry(adviser).or_insert(free_at);
             *busy = (*busy).max(free_at);
         }
--- a/crates/bankvalve_queue/src/core/capacity_reclaim.rs
+++ b/crates/bankvalve_queue/src/core/capacity_reclaim.rs
@@ -1,9 +1,10 @@
-//! Room for steps that find none: from runs that save their progress, or kept as it becomes free.
+//! Capacity for steps that find none: reclaimed from runs that save their progress, or reserved as it becomes
+//! free.
 //!
-//! A step that has waited for room chooses the workers on which it can start first, by what their
-//! runs still have to do and by what may be stopped there: runs of queues that come later, whose
-//! progress is saved at a stop. The room is kept for it, so that smaller steps do not fill it again
-//! and again.
+//! A step that has waited for capacity selects the workers on which it can start first. This depends on the
+//! remaining time of the runs there, and on which of them may be stopped: runs of queues of lower priority
+//! that save their progress when they are stopped. The capacity is reserved for the step, so that smaller
+//! steps do not take it again and again.
 
 use std::cmp::{Ordering, Reverse};
 use std::collections::BinaryHeap;
@@ -18,61 +19,60 @@
 use crate::job::TaskSize;
 use crate::policy::PolicySwitch;
 
-/// Wait for room after which an urgent step makes room: about what one placement takes.
-const URGENT_WAIT: Duration = Duration::from_millis(60);
-/// The same for other steps: about the time of a short task.
-const WAIT: Duration = Duration::from_millis(800);
-/// Steps that are not urgent and for which room is kept at once, at least: room that is kept stands
-/// empty for a while.
-const MOST_WAITING: usize = 2;
-/// Share of all room that may be kept for more of them, in percent: two steps of a fleet of a thousand
-/// workers, that some eight gangs of 40 reach each second, leave nearly all gangs to chance; 22 of
-/// them kept a quarter of the room empty, and batches that come later earned 0.72 of their worth in
-/// place of 1.00.
-const KEPT_PERCENT: u64 = 4;
-/// Pause after no room could be planned for a step: a plan goes through all workers.
-const PLAN_PAUSE: Duration = Duration::from_millis(250);
-/// Tasks of a step for which room is made at once; of a gang it is made for all members, as with less
-/// it cannot begin: one of 20 members waited for 35 s among small tasks, until they ended, and waits
-/// for under 6 s now.
-const MOST_TASKS: usize = 12;
-/// Time from the order to stop a run until its room is free, as a rule.
+/// Wait after which capacity is reclaimed for an urgent step: about the time of one placement.
+const URGENT_RECLAIM_DELAY: Duration = Duration::from_millis(60);
+/// Wait after which capacity is reclaimed for any other step: about the time of a short task.
+const RECLAIM_DELAY: Duration = Duration::from_millis(800);
+/// Number of claims by other steps below which a step that is not urgent may always claim capacity. Reserved
+/// capacity is unused for a while.
+const MIN_CLAIMS: usize = 2;
+/// Percentage of all capacity that other steps may have claimed for a step that is not urgent to claim more,
+/// once there are [`MIN_CLAIMS`]. On a site of a thousand workers that receives about eight gangs of 40 each
+/// second, two claims leave it to chance whether the other gangs find capacity. 22 claims left a quarter of
+/// the capacity unused, and later batches earned 0.72 instead of 1.00 of their value.
+const MAX_RESERVED_PERCENT: u64 = 4;
+/// Time before capacity is planned again for a step for which it could not be: a plan covers all workers.
+const PLAN_RETRY_DELAY: Duration = Duration::from_millis(250);
+/// Maximum number of tasks of a step for which capacity is reclaimed at once. Gangs are exempt, because they
+/// cannot start with less than all members: under this limit, one of 20 members waited for 35 s until the
+/// small tasks around it had ended; without the limit, it waits for less than 6 s.
+const MAX_TASKS_AT_ONCE: usize = 12;
+/// Usual time from the order to stop a run until its resources are free.
 const STOP_TIME: Duration = Duration::from_millis(300);
-/// Time for which room is kept at a time.
-const KEEP_TIME: Duration = Duration::from_millis(1_200);
-/// Time before its end at which it is kept on, on the same workers: other steps would fill at once
-/// what has become free of it.
-const KEEP_ON: Duration = Duration::from_millis(300);
-/// Longest time until room is free for which it is kept.
-const LONGEST_WAIT: Duration = Duration::from_millis(5_000);
-/// Time that a step which is not urgent rather waits than that a run is stopped for it.
-const PATIENCE: Duration = Duration::from_millis(700);
-/// Stops of one task for others, so that it is not kept from ending.
-const MOST_STOPS: u32 = 3;
-/// Weight of an accelerator against a core when runs to stop are chosen, in millicores: the
-/// platform's own figure.
+/// Time for which capacity is reserved at once.
+const RESERVE_TIME: Duration = Duration::from_millis(1_200);
+/// Remaining time of a reservation from which it is extended on the same workers. Otherwise other steps would
+/// take at once what has become free of it.
+const RESERVE_EXTEND_AHEAD: Duration = Duration::from_millis(300);
+/// Maximum time until capacity becomes free for which it is reserved.
+const MAX_CAPACITY_WAIT: Duration = Duration::from_millis(5_000);
+/// Time that a step which is not urgent waits for runs to end before it has a run stopped.
+const WAIT_BEFORE_STOP: Duration = Duration::from_millis(700);
+/// Maximum number of times that a task is stopped for other steps, so that it can finish.
+const MAX_STOPS: u32 = 3;
+/// Weight of an accelerator in millicores when runs to stop are selected. The platform uses the same figure.
 const ACCELERATOR_WEIGHT: u64 = 8_000;
 
-/// Room that is kept for a step.
+/// Capacity that is reserved for a step.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct CapacityClaim {
     since: CoreTime,
     until: CoreTime,
-    /// Processor that is kept, in millicores.
+    /// Reserved CPU in millicores.
     millicores: u64,
 }
 
-/// A way to room for one task on one worker.
+/// A plan to get capacity for one task on one worker.
 #[derive(Clone, Debug)]
 pub(super) struct CapacityPlan {
     worker: WorkerId,
-    /// Time until the room is free.
+    /// Time until the capacity is free.
     after: Duration,
-    /// Runs whose room it takes, those that end by themselves among them.
+    /// Runs whose resources the task uses, including those that end without being stopped.
     freed: Vec<TaskKey>,
-    /// Runs to stop for it.
+    /// Runs to stop for the task.
     stops: Vec<TaskKey>,
-    /// Weight of what is stopped, in millicores.
+    /// Weight of the runs to stop, in millicores.
     weight: u64,
 }
 
@@ -81,21 +81,21 @@
         &self.worker
     }
 
-    /// Time until the room is free.
+    /// Returns the time until the capacity is free.
     pub(super) fn after(&self) -> Duration {
         self.after
     }
 }
 
-/// A plan for one task, in the order in which plans are taken.
+/// A plan for one task, ordered by when plans are selected.
 struct PlannedTask {
-    place: usize,
+    worker_index: usize,
     plan: CapacityPlan,
 }
 
 impl PlannedTask {
     fn rank(&self) -> (Duration, u64, usize) {
-        (self.plan.after, self.plan.weight, self.place)
+        (self.plan.after, self.plan.weight, self.worker_index)
     }
 }
 
@@ -119,22 +119,22 @@
 
 impl Eq for PlannedTask {}
 
-/// A worker with what plans so far leave of it.
+/// A worker, with its capacity after the plans made so far.
 struct PlannedWorker<'a> {
     id: &'a WorkerId,
     state: &'a WorkerState,
-    /// What is free, and what becomes free by the plans so far.
-    room: TaskSize,
-    /// What of it is kept for other steps or taken by the plans so far; it may be more than is free
-    /// yet. Counted as free it kept a worker idle for 6 s: two steps waited for the same room, each
-    /// shut out by what was kept for the other.
-    taken: TaskSize,
-    gone: Vec<TaskKey>,
-    held: usize,
+    /// Free capacity, including what the plans made so far will free.
+    free: TaskSize,
+    /// Part of it that is reserved for other steps or used by the plans made so far. It may be more than is
+    /// free yet. When it counted as free, a worker was idle for 6 s: two steps waited for the same capacity,
+    /// each blocked by the reservation of the other.
+    unavailable: TaskSize,
+    used_runs: Vec<TaskKey>,
+    tasks_held: usize,
 }
 
 impl EntryCore {
-    /// Tells whether a step has waited so long for room that room is made for it.
+    /// Returns whether a step has waited so long for capacity that it may be reclaimed.
     pub(super) fn may_reclaim_capacity(&self, key: StepKey) -> bool {
         let Some(lead) = self.lead.as_deref() else {
             return false;
@@ -147,18 +147,22 @@
             return false;
         }
         let urgent = step.is_some_and(|step| step.is_urgent());
-        let wait = if urgent { URGENT_WAIT } else { WAIT };
+        let wait = if urgent {
+            URGENT_RECLAIM_DELAY
+        } else {
+            RECLAIM_DELAY
+        };
         self.uses(PolicySwitch::Preemption) && self.age(*since) >= wait
     }
 
-    /// Tells whether room is being made or kept for a step.
+    /// Returns whether capacity is being reclaimed or reserved for a step.
     pub(super) fn has_capacity_claim(&self, key: StepKey) -> bool {
         let lead = self.lead.as_deref();
         let claim = lead.and_then(|lead| lead.capacity_claims.get(&key));
         claim.is_some_and(|claim| claim.until > self.now)
     }
 
-    /// Notes that tasks of a step found no room.
+    /// Records that tasks of a step found no capacity.
     pub(super) fn note_capacity_wait(&mut self, key: StepKey) {
         let now = self.now;
         if let Some(lead) = self.lead.as_deref_mut() {
@@ -166,7 +170,7 @@
         }
     }
 
-    /// Forgets that a step waited for room, and what was kept for it.
+    /// Forgets that a step waited for capacity, and drops its reservations.
     pub(super) fn drop_capacity_claim(&mut self, key: StepKey) {
         let now = self.now;
         let Some(lead) = self.lead.as_deref_mut() else {
@@ -180,51 +184,52 @@
         }
     }
 
-    /// Makes room for tasks of a step that found none.
+    /// Reclaims capacity for tasks of a step that found none.
     pub(super) fn reclaim_capacity(&mut self, step: &StepToPlace, missing: usize) {
         let now = self.now;
         let key = step.key;
         let Some(lead) = self.lead.as_deref() else {
             return;
         };
-        let kept = |state: &WorkerState| state.has_reservation_for(key, now);
-        if lead.worker_states.values().any(kept) {
-            self.keep_on(key);
+        let has_reservation = |state: &WorkerState| state.has_reservation_for(key, now);
+        if lead.worker_states.values().any(has_reservation) {
+            self.extend_reservations(key);
             return;
         }
         let others = lead
             .capacity_claims
             .iter()
             .filter(|(other, claim)| **other != key && claim.until > now);
-        let kept: u64 = others.clone().map(|(_, claim)| claim.millicores).sum();
-        let rooms = lead
+        let claimed: u64 = others.clone().map(|(_, claim)| claim.millicores).sum();
+        let capacities = lead
             .worker_states
             .values()
             .map(|state| state.entry.room.millicores);
-        let all: u64 = rooms.sum();
-        let many = others.count() >= MOST_WAITING && kept * 100 >= all * KEPT_PERCENT;
+        let total: u64 = capacities.sum();
+        let too_many_claims =
+            others.count() >= MIN_CLAIMS && claimed * 100 >= total * MAX_RESERVED_PERCENT;
         let paused = |at: &CoreTime| now < *at;
-        if !step.urgent && (many || lead.plan_pauses.get(&key).is_some_and(paused)) {
+        if !step.urgent && (too_many_claims || lead.plan_pauses.get(&key).is_some_and(paused)) {
             return;
         }
         let wanted = if step.spec.gang {
             missing
         } else {
-            missing.min(MOST_TASKS)
+            missing.min(MAX_TASKS_AT_ONCE)
         };
-        let plans = self.plan_room(step, wanted, |_| true);
+        let plans = self.plan_capacity(step, wanted, |_| true);
         if plans.is_empty() || (step.spec.gang && plans.len() < missing) {
             if let Some(lead) = self.lead.as_deref_mut() {
-                lead.plan_pauses.insert(key, now + PLAN_PAUSE);
+                lead.plan_pauses.insert(key, now + PLAN_RETRY_DELAY);
             }
             return;
         }
-        self.carry_out(step, &plans);
+        self.apply_plans(step, &plans);
     }
 
-    /// Keeps room on that was chosen, while it may still become free: guesses are off, and all
-    /// members of a gang wait for the last run on their workers.
-    fn keep_on(&mut self, key: StepKey) {
+    /// Extends the reservations of a step while the capacity may still become free. Estimates are inaccurate,
+    /// and all members of a gang wait for the last run on their workers.
+    fn extend_reservations(&mut self, key: StepKey) {
         let now = self.now;
         let Some(lead) = self.lead.as_deref_mut() else {
             return;
@@ -232,31 +237,32 @@
         let Some(claim) = lead.capacity_claims.get_mut(&key) else {
             return;
         };
-        let ends_soon = claim.until <= now + KEEP_ON;
-        if !ends_soon || now.saturating_sub(claim.since) >= LONGEST_WAIT {
+        let ends_soon = claim.until <= now + RESERVE_EXTEND_AHEAD;
+        if !ends_soon || now.saturating_sub(claim.since) >= MAX_CAPACITY_WAIT {
             return;
         }
-        claim.until = now + KEEP_TIME;
+        claim.until = now + RESERVE_TIME;
         let until = claim.until;
         for state in lead.worker_states.values_mut() {
             state.extend_reservation(key, until, now);
         }
     }
 
-    /// Plans room for tasks that last and return: what is kept for other steps gives way, but for those
-    /// that return as well.
+    /// Plans capacity for long-running tasks that restart. It may be reserved for other steps, unless they
+    /// restart as well.
     pub(super) fn plan_restart(&self, step: &StepToPlace, tasks: usize) -> Vec<CapacityPlan> {
         let lead = self.lead.as_deref();
-        let stands = |key: StepKey| lead.is_some_and(|lead| lead.restarting.contains_key(&key));
-        self.plan_room(step, tasks, stands)
+        let respects = |key: StepKey| lead.is_some_and(|lead| lead.restarting.contains_key(&key));
+        self.plan_capacity(step, tasks, respects)
     }
 
-    /// Plans room for tasks of a step; what is kept for others stands as is told.
-    fn plan_room(
+    /// Plans capacity for tasks of a step, outside the reservations of the other steps for which `respects`
+    /// is true.
+    fn plan_capacity(
         &self,
         step: &StepToPlace,
         tasks: usize,
-        stands: impl Fn(StepKey) -> bool,
+        respects: impl Fn(StepKey) -> bool,
     ) -> Vec<CapacityPlan> {
         let now = self.now;
         if tasks == 0 {
@@ -266,52 +272,56 @@
             return Vec::new();
         };
         let advice = lead.advice.get(&step.key);
-        let permitted =
-            |id: &WorkerId| step.rule.is_none() || advice.is_some_and(|advice| advice.is_good(id));
-        let mut worker_states: Vec<PlannedWorker<'_>> = lead
+        let permitted = |id: &WorkerId| {
+            step.rule.is_none() || advice.is_some_and(|advice| advice.is_allowed(id))
+        };
+        let mut planned_workers: Vec<PlannedWorker<'_>> = lead
             .worker_states
             .iter()
             .filter(|(id, state)| permitted(id) && is_eligible((id, state), step, now))
             .map(|(id, state)| PlannedWorker {
                 id,
                 state,
-                room: state.entry.room.minus(&state.used),
-                taken: kept_that_stands(state, step.key, now, &stands),
-                gone: Vec::new(),
-                held: tasks_on(state, step.key),
+                free: state.entry.room.minus(&state.used),
+                unavailable: respected_reservations(state, step.key, now, &respects),
+                used_runs: Vec::new(),
+                tasks_held: tasks_on(state, step.key),
             })
             .collect();
-        // The soonest first. A plan changes only what is left of its own worker, so of a thousand
-        // workers each is gone through once, and those that are taken once more.
+        // Takes the plan with the earliest capacity first. A plan changes only the capacity of its own
+        // worker, so each of a thousand workers is planned once, and a selected one once more.
         let mut soonest: BinaryHeap<Reverse<PlannedTask>> = BinaryHeap::new();
-        let next_on = |worker_states: &[PlannedWorker<'_>], place: usize| {
-            let state = &worker_states[place];
-            let free = state.held < step.worker_limit();
-            let plan = self.plan_on(step, state).filter(|_| free)?;
-            Some(Reverse(PlannedTask { place, plan }))
+        let next_on = |planned_workers: &[PlannedWorker<'_>], worker_index: usize| {
+            let worker = &planned_workers[worker_index];
+            let below_limit = worker.tasks_held < step.worker_limit();
+            let plan = self.plan_on(step, worker).filter(|_| below_limit)?;
+            Some(Reverse(PlannedTask { worker_index, plan }))
         };
-        soonest.extend((0..worker_states.len()).filter_map(|place| next_on(&worker_states, place)));
+        soonest.extend(
+            (0..planned_workers.len())
+                .filter_map(|worker_index| next_on(&planned_workers, worker_index)),
+        );
         let mut plans = Vec::new();
         while plans.len() < tasks {
-            let Some(Reverse(PlannedTask { place, plan })) = soonest.pop() else {
+            let Some(Reverse(PlannedTask { worker_index, plan })) = soonest.pop() else {
                 break;
             };
-            worker_states[place].take(step, &plan);
-            soonest.extend(next_on(&worker_states, place));
+            planned_workers[worker_index].apply(step, &plan);
+            soonest.extend(next_on(&planned_workers, worker_index));
             plans.push(plan);
         }
         plans
     }
 
-    /// The soonest way to room for one task on a worker.
+    /// Returns the plan with the earliest capacity for one task on a worker.
     fn plan_on(&self, step: &StepToPlace, planned: &PlannedWorker<'_>) -> Option<CapacityPlan> {
-        let patience = if step.urgent {
+        let wait_before_stop = if step.urgent {
             Duration::ZERO
         } else {
-            PATIENCE
+            WAIT_BEFORE_STOP
         };
-        let mut room = planned.room;
-        let wanted = step.resources_on(planned.state).plus(&planned.taken);
+        let mut free = planned.free;
+        let wanted = step.resources_on(planned.state).plus(&planned.unavailable);
         let mut plan = CapacityPlan {
             worker: planned.id.clone(),
             after: Duration::ZERO,
@@ -319,32 +329,43 @@
             stops: Vec::new(),
             weight: 0,
         };
-        if wanted.fits(&room) {
+        if wanted.fits(&free) {
             return Some(plan);
         }
-        let mut ways: Vec<(Duration, u64, bool, TaskKey, TaskSize)> = planned
+        let mut options: Vec<(Duration, u64, bool, TaskKey, TaskSize)> = planned
             .state
             .runs
             .iter()
-            .filter(|(task, _)| !planned.gone.contains(task))
+            .filter(|(task, _)| !planned.used_runs.contains(task))
             .map(|(task, live)| {
                 let left = self.time_left(*task, live);
-                let stop = self.may_stop_for(step, *task, live) && left > STOP_TIME;
+                let stop = self.may_preempt_for(step, *task, live) && left > STOP_TIME;
                 let after = if stop { STOP_TIME } else { left };
                 let weight = if stop { weight_of(&live.resources) } else { 0 };
-                let patience = if stop { patience } else { Duration::ZERO };
-                (after + patience, weight, stop, *task, live.resources)
+                let wait_before_stop = if stop {
+                    wait_before_stop
+                } else {
+                    Duration::ZERO
+                };
+                (
+                    after + wait_before_stop,
+                    weight,
+                    stop,
+                    *task,
+                    live.resources,
+                )
             })
             .collect();
-        // Of those that are free as soon, the largest first, so that few are stopped.
-        ways.sort_unstable_by_key(|(after, _, _, task, size)| {
+        // Of the runs whose resources are free at the same time, the largest come first, so that few are
+        // stopped.
+        options.sort_unstable_by_key(|(after, _, _, task, size)| {
             (*after, Reverse(weight_of(size)), *task)
         });
-        for (after, weight, stop, task, size) in ways {
-            if wanted.fits(&room) {
+        for (after, weight, stop, task, size) in options {
+            if wanted.fits(&free) {
                 break;
             }
-            room = room.plus(&size);
+            free = free.plus(&size);
             plan.after = plan.after.max(after);
             plan.weight += weight;
             plan.freed.push(task);
@@ -352,39 +373,39 @@
                 plan.stops.push(task);
             }
         }
-        (wanted.fits(&room) && plan.after <= LONGEST_WAIT).then_some(plan)
+        (wanted.fits(&free) && plan.after <= MAX_CAPACITY_WAIT).then_some(plan)
     }
 
-    /// Time that a run still takes, by how far it has come and what is expected of its like.
+    /// Returns the remaining time of a run by its progress, or else by the expected run time of its task.
     fn time_left(&self, task: TaskKey, live: &LiveRun) -> Duration {
         if matches!(live.phase, RunPhase::Stopping { .. }) {
             return STOP_TIME;
         }
         if live.lasting {
-            return LONGEST_WAIT * 2;
+            return MAX_CAPACITY_WAIT * 2;
         }
         let ran = self.age(live.began);
         let expected = self.expected_time(task).saturating_sub(ran);
-        let by_pace = live.progress.and_then(|progress| progress.time_left(ran));
-        by_pace.unwrap_or(expected)
+        let remaining = live.progress.and_then(|progress| progress.time_left(ran));
+        remaining.unwrap_or(expected)
     }
 
-    fn may_stop_for(&self, step: &StepToPlace, task: TaskKey, live: &LiveRun) -> bool {
+    fn may_preempt_for(&self, step: &StepToPlace, task: TaskKey, live: &LiveRun) -> bool {
         let stops = self.lead.as_deref().and_then(|lead| lead.stops.get(&task));
-        // Nothing can start in its place while the table is away.
-        let may_stop = self.uses(PolicySwitch::Preemption) && !self.store_is_unavailable();
-        may_stop
+        // Nothing can start in its place while the table is unavailable.
+        let may_preempt = self.uses(PolicySwitch::Preemption) && !self.store_is_unavailable();
+        may_preempt
             && live.saves
             && !live.must_not_move
             && live.priority > step.priority
             && matches!(live.phase, RunPhase::Running { .. })
-            && stops.copied().unwrap_or(0) < MOST_STOPS
+            && stops.copied().unwrap_or(0) < MAX_STOPS
     }
 
-    fn carry_out(&mut self, step: &StepToPlace, plans: &[CapacityPlan]) {
+    fn apply_plans(&mut self, step: &StepToPlace, plans: &[CapacityPlan]) {
         let now = self.now;
         let after = plans.iter().map(|plan| plan.after).max();
-        let until = now + KEEP_TIME;
+        let until = now + RESERVE_TIME;
         let Some(lead) = self.lead.as_deref_mut() else {
             return;
         };
@@ -397,7 +418,7 @@
         self.reserve_capacity(step, plans.iter().map(|plan| &plan.worker), until);
         let stops = plans.iter().map(|plan| plan.stops.len()).sum::<usize>();
         let detail = format!(
-            "room for {} tasks on {} after {after:?}, {stops} runs stopped",
+            "capacity for {} tasks, first on {}, after {after:?}, {stops} runs stopped",
             plans.len(),
             plans[0].worker
         );
@@ -408,7 +429,7 @@
         self.stop_planned_runs(plans);
     }
 
-    /// Stops what plans say is to be stopped.
+    /// Stops the runs that must end for the plans.
     pub(super) fn stop_planned_runs(&mut self, plans: &[CapacityPlan]) {
         for plan in plans {
             for task in &plan.stops {
@@ -422,29 +443,30 @@
 }
 
 impl PlannedWorker<'_> {
-    /// Takes the room of a plan; each run's room counts for one task only.
-    fn take(&mut self, step: &StepToPlace, plan: &CapacityPlan) {
+    /// Applies a plan. The resources of each run count for one task only.
+    fn apply(&mut self, step: &StepToPlace, plan: &CapacityPlan) {
         for task in &plan.freed {
             if let Some(live) = self.state.runs.get(task) {
-                self.room = self.room.plus(&live.resources);
+                self.free = self.free.plus(&live.resources);
             }
         }
-        self.gone.extend(plan.freed.iter().copied());
-        self.taken = self.taken.plus(&step.resources_on(self.state));
-        self.held += 1;
+        self.used_runs.extend(plan.freed.iter().copied());
+        self.unavailable = self.unavailable.plus(&step.resources_on(self.state));
+        self.tasks_held += 1;
     }
 }
 
-/// Room that is kept on a worker for other steps, of those whose room stands.
-fn kept_that_stands(
+/// Returns the capacity that is reserved on a worker for the other steps for which `respects` is true.
+fn respected_reservations(
     state: &WorkerState,
     step: StepKey,
     now: CoreTime,
-    stands: impl Fn(StepKey) -> bool,
+    respects: impl Fn(StepKey) -> bool,
 ) -> TaskSize {
-    let kept = state.reserved.iter();
-    let kept = kept.filter(|kept| kept.step != step && kept.until > now && stands(kept.step));
-    kept.fold(TaskSize::default(), |sum, kept| sum.plus(&kept.resources))
+    let reservations = state.reserved.iter();
+    let reservations = reservations
+        .filter(|entry| entry.step != step && entry.until > now && respects(entry.step));
+    reservations.fold(TaskSize::default(), |sum, entry| sum.plus(&entry.resources))
 }
 
 fn weight_of(size: &TaskSize) -> u64 {
--- a/crates/bankvalve_queue/src/core/orders.rs
+++ b/crates/bankvalve_queue/src/core/orders.rs
@@ -1,4 +1,4 @@
-//! Orders to workers: starts and stops, repeated until it is sure what became of them.
+//! Start and stop orders to workers, repeated until their outcome is known.
 
 use std::time::Duration;
 
@@ -12,28 +12,30 @@
 use crate::policy::PolicySwitch;
 use crate::worker::{StartOrder, StartRefusal, WorkerAnswer, WorkerCall};
 
-/// Longest wait for the answer to an order; as a rule it is repeated long before.
-const ORDER_TIME: Duration = Duration::from_millis(350);
-/// Starts on their way to one worker, since each takes a connection of its own.
-const STARTS_AT_ONCE: usize = 2;
-/// Pause before an order that was not sent is tried again.
-const ORDER_PAUSE: Duration = Duration::from_millis(120);
-/// Tries of an order that was surely not carried out.
-const ORDER_TRIES: u32 = 3;
-/// Time between two goes through all runs for orders that no list of those due names.
-const ORDER_SCAN: Duration = Duration::from_millis(200);
-/// Age of what workers say of themselves up to which starts go by it: the platform lets a room that
-/// has shrunk count for its time of contact, three seconds at least, and a heartbeat more.
-const LIST_AGE: Duration = Duration::from_millis(3_000);
-/// Pause of a start while nothing newer is known.
-const LIST_PAUSE: Duration = Duration::from_millis(50);
-/// Pause before a stop is repeated.
-const STOP_PAUSE: Duration = Duration::from_millis(250);
-/// Rest of a worker that turned an order away as unwell.
-const UNWELL_REST: Duration = Duration::from_millis(1_500);
+/// Maximum time to wait for the answer to an order. Most orders are repeated much earlier, by the time that
+/// answers recently took.
+const MAX_ORDER_TIMEOUT: Duration = Duration::from_millis(350);
+/// Maximum number of start orders in flight to one worker. Each of them uses a connection.
+const MAX_STARTS_IN_FLIGHT: usize = 2;
+/// Time before an order that was not sent is repeated.
+const ORDER_RETRY_DELAY: Duration = Duration::from_millis(120);
+/// Maximum number of attempts at an order that is known not to have been carried out.
+const MAX_ORDER_TRIES: u32 = 3;
+/// Time between two scans of all runs for due orders that the list of due orders lacks.
+const ORDER_SCAN_INTERVAL: Duration = Duration::from_millis(200);
+/// Maximum age of the list of the workers' entries for a start to be checked against it. After a worker's
+/// capacity shrinks, the platform still accepts the old one for its contact time, at least three seconds, and
+/// one heartbeat more.
+const MAX_ENTRY_AGE: Duration = Duration::from_millis(3_000);
+/// Time before a start is checked again if the workers' entries are too old.
+const STALE_ENTRY_DELAY: Duration = Duration::from_millis(50);
+/// Time before a stop order is repeated.
+const STOP_RETRY_DELAY: Duration = Duration::from_millis(250);
+/// Back-off of a worker that refused an order because it was unwell.
+const UNWELL_BACKOFF: Duration = Duration::from_millis(1_500);
 
 impl EntryCore {
-    /// Sends the order for a run that is kept now.
+    /// Sends the order for a run whose start has been committed.
     pub(super) fn begin_order(&mut self, task: TaskKey, run: u64) {
         let now = self.now;
         let Some((worker, open)) = self.placed_on(task, run) else {
@@ -41,9 +43,9 @@
         };
         if !open || self.gang_is_broken(task.step) {
             let why = if open {
-                "its gang is broken"
+                "a member of its gang has ended"
             } else {
-                "its job is over"
+                "its job has ended"
             };
             let (how, saved) = (EndKind::NeverRan, String::new());
             self.end_without_report(&worker, task, run, how, saved, why);
@@ -65,7 +67,7 @@
         self.send_start(&worker, task);
     }
 
-    /// Tells whether a gang has lost a member, so that the others need not start.
+    /// Returns whether a gang has lost a member, so that the other members need not start.
     fn gang_is_broken(&self, step: crate::ids::StepKey) -> bool {
         let Some(job) = self.book.job(step.job) else {
             return false;
@@ -87,11 +89,11 @@
     fn send_start(&mut self, id: &WorkerId, task: TaskKey) {
         let now = self.now;
         let bound = self.lease_bound();
-        if !self.has_room_now(id, task) {
+        if !self.has_capacity_now(id, task) {
             return;
         }
         if !self.is_within_limit_now(id, task) {
-            self.take_start_back(
+            self.cancel_start(
                 id,
                 task,
                 "limit_lowered",
@@ -114,15 +116,15 @@
         let Some(until_ms) = state.lease_deadline(bound) else {
             return;
         };
-        // A silent worker's hold must run out, or what it may run is never given up.
+        // The lease of an unresponsive worker must expire, or its runs are never declared lost.
         let until_ms = if state.may_renew_lease(now, RENEW_WITHIN) {
             until_ms
         } else {
             state.lease_until
         };
         state.lease_until = state.lease_until.max(until_ms);
-        if state.starts_in_flight() >= STARTS_AT_ONCE {
-            // The answer to one of them sends the next.
+        if state.starts_in_flight() >= MAX_STARTS_IN_FLIGHT {
+            // The answer to one of these orders sends the next one.
             return;
         }
         let Some(live) = state.runs.get_mut(&task) else {
@@ -141,21 +143,21 @@
         };
         self.counters.count("calls", "start");
         let call = WorkerCall::Start(Box::new(order));
-        let time = self.order_time();
+        let time = self.order_timeout();
         self.call_worker(id, CallPurpose::Start { task, run }, call, time);
     }
 
-    /// Weighs a start, also one that is repeated, against the room that its worker has now: room
-    /// shrinks while a start is being kept, which takes seconds where the table is slow or away.
+    /// Returns whether a start, also a repeated one, fits the current capacity of its worker. The capacity
+    /// may shrink while the start is committed, which takes seconds if the table is slow or unavailable.
     ///
-    /// What would come on top of it is not sent, or stopped if it may be on its way. While it is not
-    /// known what the workers say of themselves now, it waits.
-    fn has_room_now(&mut self, id: &WorkerId, task: TaskKey) -> bool {
+    /// A start that does not fit is canceled, or stopped if its order may be in flight. While the worker's
+    /// current entry is unknown, the start waits.
+    fn has_capacity_now(&mut self, id: &WorkerId, task: TaskKey) -> bool {
         if !self.enforces(SiteGuard::RoomOfNow) {
             return true;
         }
         let now = self.now;
-        let list_age = self.worker_list_at.map(|at| now.saturating_sub(at));
+        let entry_age = self.worker_list_at.map(|at| now.saturating_sub(at));
         let wanted = self.resources_of(task);
         let Some(lead) = self.lead.as_deref_mut() else {
             return false;
@@ -167,29 +169,29 @@
         let Some(live) = state.runs.get_mut(&task) else {
             return false;
         };
-        if list_age.is_none_or(|age| age >= LIST_AGE) || !entry_is_current {
-            live.next_at = now + LIST_PAUSE;
-            lead.have_order_due(now + LIST_PAUSE, id, task);
+        if entry_age.is_none_or(|age| age >= MAX_ENTRY_AGE) || !entry_is_current {
+            live.next_at = now + STALE_ENTRY_DELAY;
+            lead.have_order_due(now + STALE_ENTRY_DELAY, id, task);
             return false;
         }
-        // A suspect has the whole worker by the book, and takes what its step does.
+        // A suspect is booked with the whole worker, but takes no more than its step's resources.
         let used = state.used.minus(&live.resources).plus(&wanted);
         if used.fits(&state.entry.room) {
             return true;
         }
-        self.take_start_back(id, task, "room_shrunk", "its worker's room has shrunk");
+        self.cancel_start(id, task, "room_shrunk", "its worker's capacity has shrunk");
         false
     }
 
-    /// Takes a start back for which there is no room any more, or no leave.
-    fn take_start_back(&mut self, id: &WorkerId, task: TaskKey, kind: &'static str, why: &str) {
+    /// Cancels a start that does not fit its worker or its customer's limit any more.
+    fn cancel_start(&mut self, id: &WorkerId, task: TaskKey, kind: &'static str, why: &str) {
         let lead = self.lead.as_deref_mut();
         let Some(live) = lead.and_then(|lead| lead.live_run(id, &task)) else {
             return;
         };
-        let (run, sure) = (live.run, live.copies == 0);
+        let (run, known_not_started) = (live.run, live.copies == 0);
         self.counters.count("order_refusals", kind);
-        if sure {
+        if known_not_started {
             let (how, saved) = (EndKind::NeverRan, String::new());
             self.end_without_report(id, task, run, how, saved, why);
         } else {
@@ -197,11 +199,13 @@
         }
     }
 
-    fn order_time(&self) -> Duration {
+    fn order_timeout(&self) -> Duration {
         let lead = self.lead.as_deref();
-        let quick = self.uses(PolicySwitch::QuickRepeat);
-        lead.filter(|_| quick)
-            .map_or(ORDER_TIME, |lead| lead.answer_limit(ORDER_TIME))
+        let repeats_quickly = self.uses(PolicySwitch::QuickRepeat);
+        lead.filter(|_| repeats_quickly)
+            .map_or(MAX_ORDER_TIMEOUT, |lead| {
+                lead.answer_limit(MAX_ORDER_TIMEOUT)
+            })
     }
 
     pub(super) fn end_start(
@@ -211,11 +215,11 @@
         run: u64,
         answer: &WorkerAnswer,
     ) {
-        self.settle_start(id, task, run, answer);
+        self.apply_start_answer(id, task, run, answer);
         self.send_waiting_starts(id);
     }
 
-    /// Sends starts that waited for others to the same worker.
+    /// Sends start orders to a worker that waited for other start orders to it.
     fn send_waiting_starts(&mut self, id: &WorkerId) {
         let now = self.now;
         let state = self
@@ -230,14 +234,20 @@
             .flat_map(|state| &state.runs)
             .filter(|(_, live)| waits(live))
             .map(|(task, _)| *task)
-            .take(STARTS_AT_ONCE)
+            .take(MAX_STARTS_IN_FLIGHT)
             .collect();
         for task in waiting {
             self.send_start(id, task);
         }
     }
 
-    fn settle_start(&mut self, id: &WorkerId, task: TaskKey, run: u64, answer: &WorkerAnswer) {
+    fn apply_start_answer(
+        &mut self,
+        id: &WorkerId,
+        task: TaskKey,
+        run: u64,
+        answer: &WorkerAnswer,
+    ) {
         let now = self.now;
         let Some(lead) = self.lead.as_deref_mut() else {
             return;
@@ -271,16 +281,16 @@
                 self.counters.count("retries", "order_unanswered");
                 return;
             }
-            WorkerAnswer::PortRefused | WorkerAnswer::NotSent if live.tries < ORDER_TRIES => {
-                live.next_at = now + ORDER_PAUSE;
-                lead.have_order_due(now + ORDER_PAUSE, id, task);
+            WorkerAnswer::PortRefused | WorkerAnswer::NotSent if live.tries < MAX_ORDER_TRIES => {
+                live.next_at = now + ORDER_RETRY_DELAY;
+                lead.have_order_due(now + ORDER_RETRY_DELAY, id, task);
                 self.counters.count("retries", "order_not_sent");
                 return;
             }
             WorkerAnswer::Refused {
                 reason: StartRefusal::Late,
                 ..
-            } if live.tries < ORDER_TRIES => {
+            } if live.tries < MAX_ORDER_TRIES => {
                 live.next_at = now;
                 lead.have_order_due(now, id, task);
                 return;
@@ -292,8 +302,8 @@
             WorkerAnswer::Unwell => "unwell",
             _ => "not_sent",
         };
-        let sure = live.copies == 0;
-        let old = matches!(
+        let known_not_started = live.copies == 0;
+        let refused_as_old = matches!(
             answer,
             WorkerAnswer::Refused {
                 reason: StartRefusal::Old,
@@ -301,7 +311,7 @@
             }
         );
         if *answer == WorkerAnswer::Unwell {
-            state.backoff_until = state.backoff_until.max(now + UNWELL_REST);
+            state.backoff_until = state.backoff_until.max(now + UNWELL_BACKOFF);
         }
         self.counters.count("order_refusals", why);
         self.log(
@@ -313,17 +323,17 @@
         if why == "permit" {
             self.drop_permit(task.step, id);
         }
-        if sure && !old {
+        if known_not_started && !refused_as_old {
             self.end_without_report(id, task, run, EndKind::NeverRan, String::new(), why);
         } else {
             self.begin_stop_run(id, task);
         }
     }
 
-    /// Stops a run; its end, or its absence from the lists, frees the room.
+    /// Stops a run. Its resources become free when the worker reports its end or no longer reports the run.
     pub(super) fn begin_stop_run(&mut self, id: &WorkerId, task: TaskKey) {
         let now = self.now;
-        let counts = self.enforces(SiteGuard::StopsCount);
+        let keeps_resources = self.enforces(SiteGuard::StopsCount);
         let Some(lead) = self.lead.as_deref_mut() else {
             return;
         };
@@ -332,7 +342,8 @@
         };
         match live.phase {
             RunPhase::Stopping { .. } => return,
-            // It is ordered or found absent first; then this is asked for again.
+            // Nothing to stop yet. The run is ordered or found missing first; then the stop is requested
+            // again.
             RunPhase::Proposed | RunPhase::Adopted => return,
             _ => {}
         }
@@ -340,7 +351,7 @@
         live.next_at = now;
         live.busy = false;
         lead.have_order_due(now, id, task);
-        if counts {
+        if keeps_resources {
             return;
         }
         let state = self
@@ -352,7 +363,7 @@
         }
     }
 
-    /// Repeats orders that have no answer.
+    /// Sends the orders that are due, and repeats those without an answer.
     pub(super) fn run_orders(&mut self) {
         if !self.may_command() {
             return;
@@ -366,7 +377,7 @@
             self.send_due_orders(due);
             return;
         }
-        lead.next_order_scan = now + ORDER_SCAN;
+        lead.next_order_scan = now + ORDER_SCAN_INTERVAL;
         let Some(lead) = self.lead.as_deref() else {
             return;
         };
@@ -380,7 +391,7 @@
         self.send_due_orders(due);
     }
 
-    /// Sends orders to runs that wait for one.
+    /// Sends the order that each of these runs waits for.
     fn send_due_orders(&mut self, due: Vec<(WorkerId, TaskKey)>) {
         let now = self.now;
         for (id, task) in due {
@@ -408,7 +419,7 @@
         let run = live.run;
         self.counters.count("calls", "stop");
         let call = WorkerCall::Stop { task, run };
-        let time = self.order_time();
+        let time = self.order_timeout();
         self.call_worker(id, CallPurpose::Stop { task, run }, call, time);
     }
 
@@ -428,14 +439,14 @@
             return;
         };
         live.busy = false;
-        live.next_at = now + STOP_PAUSE;
+        live.next_at = now + STOP_RETRY_DELAY;
         let done = matches!(answer, WorkerAnswer::Done { .. });
         if done {
             live.phase = RunPhase::Stopping {
                 confirmed: Some(now),
             };
         }
-        lead.have_order_due(now + STOP_PAUSE, id, task);
+        lead.have_order_due(now + STOP_RETRY_DELAY, id, task);
         if done {
             self.log_often("runs", "stop", || {
                 (task.to_string(), format!("run {run} on {id}"))
--- a/crates/bankvalve_queue/src/core/worker_selection.rs
+++ b/crates/bankvalve_queue/src/core/worker_selection.rs
@@ -1,9 +1,9 @@
-//! Which workers tasks of a step go to, and which the policy is asked about.
+//! Selection of workers: those that a step's tasks go to, and those that advice is requested about.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
 
-use super::advice::{StepAdvice, ASK_LIMIT};
+use super::advice::{StepAdvice, MAX_ADVICE_WORKERS};
 use super::lead_state::LeadState;
 use super::live_run::RunLoad;
 use super::placement::{Assignment, StepToPlace};
@@ -11,23 +11,25 @@
 use crate::ids::{CoreTime, StepKey, WorkerId};
 use crate::job::TaskSize;
 
-/// Workers whose slowness differs by less count as alike, as a logarithm.
-const SLOWNESS_STEP: f64 = 0.06;
-/// Workers asked about for each task, and at least, in a first question.
-const ASK_PER_TASK: usize = 4;
-const ASK_LEAST: usize = 16;
-/// Workers asked about at most for tasks that start one by one, and at least for a gang, which
-/// needs room for all of its members among those that may run it.
-const ASK_MOST: usize = 100;
-const GANG_ASK_LEAST: usize = 100;
+/// Width of a slowness class, as a logarithm of run time. Workers of one class count as equally fast.
+const SLOWNESS_CLASS_WIDTH: f64 = 0.06;
+/// Number of workers to request advice about for each task of a step.
+const ADVICE_WORKERS_PER_TASK: usize = 4;
+/// Minimum number of workers to request advice about for a step.
+const MIN_ADVICE_WORKERS: usize = 16;
+/// Maximum number of workers to request advice about at once for a step whose tasks start one by one.
+const MAX_ADVICE_WORKERS_SINGLE: usize = 100;
+/// Minimum number of workers to request advice about for a gang, which needs capacity for all its members
+/// among the workers that may run it.
+const MIN_ADVICE_WORKERS_GANG: usize = 100;
 
-/// Tells whether a worker may be given tasks of a step at all.
+/// Returns whether a worker is eligible for tasks of a step, whatever free capacity it has.
 pub(super) fn is_eligible(
     (id, state): (&WorkerId, &WorkerState),
     step: &StepToPlace,
     now: CoreTime,
 ) -> bool {
-    // What is cheap and often fails comes first: all workers are asked this for each step.
+    // Cheap checks that often fail come first, because this runs for all workers for each step.
     let usable = state.token_accepted
         && !state.declared_lost
         && state.listed
@@ -37,7 +39,7 @@
         && !state.entry.leaving
         && (now >= state.backoff_until || step.past_deadline);
     if !usable
-        || step.tried_on.contains(id)
+        || step.crashed_workers.contains(id)
         || !step.resources.fits(&state.entry.room)
         || !state.is_responsive(now)
     {
@@ -53,74 +55,74 @@
         && !state.has_conflicting_run(RunLoad::of(&step.spec))
 }
 
-/// All workers that may be given tasks of a step.
+/// Returns all workers that are eligible for tasks of a step.
 pub(super) fn eligible_workers<'a>(
     lead: &'a LeadState,
     step: &StepToPlace,
     now: CoreTime,
 ) -> Vec<(&'a WorkerId, &'a WorkerState)> {
-    let worker_states = lead.worker_states.iter();
-    worker_states
+    let workers = lead.worker_states.iter();
+    workers
         .filter(|entry| is_eligible(*entry, step, now))
         .collect()
 }
 
-/// Tasks of a step that a worker holds.
+/// Returns how many tasks of a step a worker has.
 pub(super) fn tasks_on(state: &WorkerState, step: StepKey) -> usize {
     let first = step.task(0);
     let last = step.task(u32::MAX);
     state.runs.range(first..=last).count()
 }
 
-/// Chooses workers for as many tasks as fit; for a gang, for all or none.
-pub(super) fn choose(
+/// Selects workers for as many tasks as fit; for a gang, for all tasks or none.
+pub(super) fn assign_workers(
     step: &StepToPlace,
-    worker_states: &[(&WorkerId, &WorkerState)],
+    workers: &[(&WorkerId, &WorkerState)],
     now: CoreTime,
 ) -> Assignment {
     if step.spec.gang && step.spec.same_rack {
-        let choice = choose_on_one_rack(step, worker_states, now);
-        if !choice.is_empty() {
-            return choice;
+        let assignment = assign_on_one_rack(step, workers, now);
+        if !assignment.is_empty() {
+            return assignment;
         }
     }
-    choose_among(step, worker_states, now)
+    assign_among(step, workers, now)
 }
 
-fn choose_on_one_rack(
+fn assign_on_one_rack(
     step: &StepToPlace,
-    worker_states: &[(&WorkerId, &WorkerState)],
+    workers: &[(&WorkerId, &WorkerState)],
     now: CoreTime,
 ) -> Assignment {
     let mut racks: BTreeMap<&str, Vec<(&WorkerId, &WorkerState)>> = BTreeMap::new();
-    for (id, state) in worker_states {
+    for (id, state) in workers {
         if let Some(rack) = rack_of(state) {
             racks.entry(rack).or_default().push((*id, *state));
         }
     }
-    let whole = racks
+    let first_complete = racks
         .values()
-        .map(|worker_states| choose_among(step, worker_states, now))
-        .find(|choice| !choice.is_empty());
-    whole.unwrap_or_default()
+        .map(|workers| assign_among(step, workers, now))
+        .find(|assignment| !assignment.is_empty());
+    first_complete.unwrap_or_default()
 }
 
-/// The label of a worker that names its rack: the last one.
+/// Returns the rack of a worker, which is its last label.
 fn rack_of(state: &WorkerState) -> Option<&str> {
     state.entry.labels.last().map(String::as_str)
 }
 
-/// A worker that may be chosen, with what choices so far leave of it.
+/// An eligible worker, with its capacity after the assignments made so far.
 struct Candidate<'a> {
     id: &'a WorkerId,
     state: &'a WorkerState,
-    room: TaskSize,
-    held: usize,
-    near: bool,
-    /// Whether it rests, and is taken all the same if no other has room.
-    rests: bool,
-    /// How slow it is, in steps.
-    slow: i64,
+    free: TaskSize,
+    tasks_held: usize,
+    near_data: bool,
+    /// Whether the worker is in back-off. Such a worker is used only if no other one has capacity.
+    in_backoff: bool,
+    /// Slowness class of the worker; a higher one is slower.
+    slowness_class: i64,
 }
 
 impl<'a> Candidate<'a> {
@@ -129,134 +131,156 @@
         Self {
             id,
             state,
-            room: state.free_for(step.key, now),
-            held: tasks_on(state, step.key),
-            near: rack.is_some_and(|rack| state.entry.labels.contains(rack)),
-            rests: now < state.backoff_until,
-            slow: (state.slowness / SLOWNESS_STEP).round() as i64,
+            free: state.free_for(step.key, now),
+            tasks_held: tasks_on(state, step.key),
+            near_data: rack.is_some_and(|rack| state.entry.labels.contains(rack)),
+            in_backoff: now < state.backoff_until,
+            slowness_class: (state.slowness / SLOWNESS_CLASS_WIDTH).round() as i64,
         }
     }
 
-    fn takes(&self, wanted: &TaskSize, limit: usize) -> bool {
-        wanted.fits(&self.room) && self.held < limit
+    fn can_take(&self, wanted: &TaskSize, limit: usize) -> bool {
+        wanted.fits(&self.free) && self.tasks_held < limit
     }
 
-    /// Least is best: one that does not rest; for a suspect one that has been there for long, since one that
-    /// comes and goes tells nothing of it; for a gang, which one failure ends, one whose last run did not
-    /// fail; near its data; for urgent work fast; then the one that is left fullest.
+    /// Returns the rank of the worker for a step; the smallest is the best. The criteria, in this order:
+    ///
+    /// 1. Workers that are not in back-off.
+    /// 2. For suspects, workers known for longest: the loss of one that comes and goes is no evidence.
+    /// 3. For gangs, which end with one failure, workers whose last run did not fail.
+    /// 4. Workers near the step's data.
+    /// 5. For urgent steps, fast workers.
+    /// 6. Workers with the least CPU left after the assignment.
     fn rank(&self, step: &StepToPlace) -> (bool, u64, bool, Reverse<bool>, i64, u64) {
-        let left = self.room.minus(&step.resources).millicores;
-        let slow = if step.fast_first { self.slow } else { 0 };
-        let known = if step.has_trials() {
+        let left = self.free.minus(&step.resources).millicores;
+        let slowness_class = if step.fast_first {
+            self.slowness_class
+        } else {
+            0
+        };
+        let known_since = if step.has_trials() {
             self.state.known_at.as_secs()
         } else {
             0
         };
         let failed = step.healthy_first && self.state.last_run_failed();
-        (self.rests, known, failed, Reverse(self.near), slow, left)
+        (
+            self.in_backoff,
+            known_since,
+            failed,
+            Reverse(self.near_data),
+            slowness_class,
+            left,
+        )
     }
 }
 
-fn choose_among(
+fn assign_among(
     step: &StepToPlace,
-    worker_states: &[(&WorkerId, &WorkerState)],
+    workers: &[(&WorkerId, &WorkerState)],
     now: CoreTime,
 ) -> Assignment {
     let limit = step.worker_limit();
-    let mut free: Vec<Candidate<'_>> = worker_states
+    let mut candidates: Vec<Candidate<'_>> = workers
         .iter()
         .map(|(id, state)| Candidate::new(id, state, step, now))
-        .filter(|candidate| candidate.takes(&step.resources_on(candidate.state), limit))
+        .filter(|candidate| candidate.can_take(&step.resources_on(candidate.state), limit))
         .collect();
-    let mut choice = Vec::new();
+    let mut assignment = Vec::new();
     for task in &step.tasks {
-        let best = free
+        let best = candidates
             .iter_mut()
-            .filter(|candidate| candidate.takes(&step.resources_of(task, candidate.state), limit))
+            .filter(|candidate| {
+                candidate.can_take(&step.resources_of(task, candidate.state), limit)
+            })
             .filter(|candidate| step.may_join(task, candidate.state, now))
             .min_by_key(|candidate| candidate.rank(step));
         let Some(best) = best else {
             break;
         };
-        best.room = best.room.minus(&step.resources_of(task, best.state));
-        best.held += 1;
-        choice.push((*task, best.id.clone()));
+        best.free = best.free.minus(&step.resources_of(task, best.state));
+        best.tasks_held += 1;
+        assignment.push((*task, best.id.clone()));
     }
-    if step.spec.gang && choice.len() < step.tasks.len() {
-        choice.clear();
+    if step.spec.gang && assignment.len() < step.tasks.len() {
+        assignment.clear();
     }
-    choice
+    assignment
 }
 
-pub(super) fn workers_of(choice: &Assignment) -> Vec<WorkerId> {
-    let mut workers: Vec<WorkerId> = choice.iter().map(|(_, worker)| worker.clone()).collect();
+pub(super) fn workers_to_ask(assignment: &Assignment) -> Vec<WorkerId> {
+    let mut workers: Vec<WorkerId> = assignment
+        .iter()
+        .map(|(_, worker)| worker.clone())
+        .collect();
     workers.sort_unstable();
     workers.dedup();
-    workers.truncate(ASK_LIMIT);
+    workers.truncate(MAX_ADVICE_WORKERS);
     workers
 }
 
-/// Workers for a step's first question: those with the most room.
+/// Returns the workers for a step's first advice request: those with the most free capacity.
 pub(super) fn first_advice_request(
     step: &StepToPlace,
-    worker_states: &[(&WorkerId, &WorkerState)],
+    workers: &[(&WorkerId, &WorkerState)],
     now: CoreTime,
 ) -> Vec<WorkerId> {
-    workers_with_most_free(step, worker_states, wanted_workers(step), now)
+    workers_with_most_free(step, workers, advice_request_size(step), now)
 }
 
-/// Workers that a question for a step is about.
-fn wanted_workers(step: &StepToPlace) -> usize {
-    let wanted = step.tasks.len() * ASK_PER_TASK;
+/// Returns how many workers an advice request for a step covers.
+fn advice_request_size(step: &StepToPlace) -> usize {
+    let wanted = step.tasks.len() * ADVICE_WORKERS_PER_TASK;
     if step.spec.gang {
-        wanted.clamp(GANG_ASK_LEAST, ASK_LIMIT)
+        wanted.clamp(MIN_ADVICE_WORKERS_GANG, MAX_ADVICE_WORKERS)
     } else {
-        wanted.clamp(ASK_LEAST, ASK_MOST)
+        wanted.clamp(MIN_ADVICE_WORKERS, MAX_ADVICE_WORKERS_SINGLE)
     }
 }
 
-/// So many workers, those with the most room first.
+/// Returns up to `wanted` workers, those with the most free CPU first. For a step that prefers workers whose
+/// last run did not fail, these come before all others.
 pub(super) fn workers_with_most_free(
     step: &StepToPlace,
-    worker_states: &[(&WorkerId, &WorkerState)],
+    workers: &[(&WorkerId, &WorkerState)],
     wanted: usize,
     now: CoreTime,
 ) -> Vec<WorkerId> {
-    let room = |state: &WorkerState| {
+    let sort_key = |state: &WorkerState| {
         let failed = step.healthy_first && state.last_run_failed();
         (failed, Reverse(state.free_for(step.key, now).millicores))
     };
-    let rooms = worker_states.iter().enumerate();
-    let mut by_room: Vec<_> = rooms
-        .map(|(place, (_, state))| (room(state), place))
+    let indexed = workers.iter().enumerate();
+    let mut sorted: Vec<_> = indexed
+        .map(|(index, (_, state))| (sort_key(state), index))
         .collect();
-    if wanted < by_room.len() {
-        by_room.select_nth_unstable(wanted);
-        by_room.truncate(wanted);
+    if wanted < sorted.len() {
+        sorted.select_nth_unstable(wanted);
+        sorted.truncate(wanted);
     }
-    by_room.sort_unstable();
-    by_room
+    sorted.sort_unstable();
+    sorted
         .into_iter()
-        .map(|(_, place)| worker_states[place].0.clone())
+        .map(|(_, index)| workers[index].0.clone())
         .collect()
 }
 
-/// Workers with room of which the policy has not been asked yet.
+/// Returns eligible workers with enough free capacity about which the policy service has not answered yet.
 pub(super) fn unasked_with_capacity(
     lead: &LeadState,
     step: &StepToPlace,
     advice: &StepAdvice,
     now: CoreTime,
 ) -> Vec<WorkerId> {
-    let has_room = |state: &WorkerState| {
+    let has_capacity = |state: &WorkerState| {
         step.resources_on(state)
             .fits(&state.free_for(step.key, now))
     };
-    let worker_states: Vec<(&WorkerId, &WorkerState)> = lead
+    let workers: Vec<(&WorkerId, &WorkerState)> = lead
         .worker_states
         .iter()
-        .filter(|(id, state)| has_room(state) && is_eligible((id, state), step, now))
+        .filter(|(id, state)| has_capacity(state) && is_eligible((id, state), step, now))
         .filter(|(id, _)| !advice.is_known(id))
         .collect();
-    workers_with_most_free(step, &worker_states, wanted_workers(step), now)
+    workers_with_most_free(step, &workers, advice_request_size(step), now)
 }
