--- a/crates/bankvalve_queue/src/core/away.rs
+++ b/crates/bankvalve_queue/src/core/away.rs
@@ -1,11 +1,12 @@
-//! For how long a task that lasts has been away, and whether it may be kept waiting any more.
+//! Downtime of long-running tasks, and their restart deadline.
 //!
-//! Such a task serves users all the while, and may be away for some nine seconds in all: until its
-//! worker is sure to be over, for a turn, a free worker or room, and until it is started. The waits add
-//! up, and each may have passed under another leader. So the ledger tells since when a task has been
-//! away: an end is kept with the time of the last word of the run, not with that at which it was given
-//! up, and whoever leads reckons from there. A wait that is there for evidence alone, as a suspect's
-//! for its turn, ends when [`is_pressed`](EntryCore::is_pressed) says so.
+//! A long-running task serves users continuously and may be down for about nine seconds in total. In this
+//! time its worker must be known to have ended, a free worker or capacity must be found, and the task must
+//! start; a suspect also waits until it may start. These waits add up, and each may have passed under
+//! another leader. So the ledger records since when a task has been down: an end is committed with the time
+//! of the last contact with the run, not with the time at which it was declared lost. Every leader counts
+//! from that time. A wait that only serves to collect evidence, such as that of a suspect, ends when
+//! [`is_pressed`](EntryCore::is_pressed) returns true.
 
 use std::time::Duration;
 
@@ -14,28 +15,28 @@
 use crate::job::StepSpec;
 use crate::ledger::{EndKind, TaskRecord};
 
-/// Longest that a task that lasts may be away: the users' six seconds from its last run on, and three
-/// in which nothing of it runs.
+/// Longest time for which a long-running task may be down: the users allow six seconds from its last run
+/// on, and three more in which none of it runs.
 const LONGEST_AWAY: Duration = Duration::from_secs(9);
-/// Time that a start takes from when it is decided on until the worker runs it: 0.25 s until waiting
-/// steps are gone through again, two ways to the worker and a write, together 0.3 to 0.7 s as measured.
+/// Time reserved for a start, from the decision until the worker runs the task. It takes 0.3 to 0.7 s: up
+/// to 0.25 s until waiting steps are evaluated again, two messages to the worker, and a write.
 const START_TIME: Duration = Duration::from_millis(1_200);
 
 impl EntryCore {
-    /// Tells whether a task has been away for so long that it is started wherever there is room.
+    /// Returns whether a task is past its restart deadline, so that it starts wherever there is capacity.
     ///
-    /// **NOTE:** By the time of day, since no other clock is common to leaders. Where that has fallen
-    /// since, the task counts as away for less, and its waits end by their own bounds.
+    /// **NOTE:** This uses the time of day, because leaders share no other clock. If that has been set back,
+    /// the task counts as down for a shorter time, and its waits end by their own limits.
     pub(super) fn is_pressed(&self, spec: &StepSpec, task: &TaskRecord) -> bool {
         let away = self.wall.saturating_sub(task.ended_at);
         let ran = task.ended_at > 0;
         spec.lasting && ran && Duration::from_millis(away) >= LONGEST_AWAY - START_TIME
     }
 
-    /// When a run was last heard of that no list will tell of, by the time of day.
+    /// Returns the last contact with a run whose end no run list will report, by the time of day.
     ///
-    /// Of a worker that this leader has never heard nothing tells that it lived when the lead began: it
-    /// may have been silent for as long as its hold.
+    /// If a worker never answered this leader, nothing shows that it was up when this leader started. It may
+    /// already have been out of contact for as long as its lease.
     pub(super) fn last_word_of(&self, id: &WorkerId, how: EndKind) -> WallMillis {
         let seat = self.lead.as_deref().and_then(|lead| lead.seats.get(id));
         let lost = matches!(how, EndKind::Lost | EndKind::Crashed(_));
--- a/crates/bankvalve_queue/src/core/former_leaders.rs
+++ b/crates/bankvalve_queue/src/core/former_leaders.rs
@@ -1,19 +1,19 @@
-//! Leaders of before: until when they may have had workers hold what they run.
+//! Former leaders: until when the leases that they requested from workers may last.
 //!
-//! A new leader gives up the runs of a worker that does not answer it once no hold can last any
-//! more. It was not there when the holds were asked for, so what it may assume rests on two promises
-//! that each leader keeps:
+//! A new leader declares the runs of a worker that does not answer lost once no lease can last any longer.
+//! It has not seen the requests for these leases, so its assumptions rely on two rules that every leader
+//! follows:
 //!
-//! - *Certain:* without more, a hold that it asks for ends [`HOLD`] after the last moment at which the
-//!   table is known to have had its row. Whoever claims the row has thereby outlived that moment.
-//! - *In touch:* it goes beyond that, for as long as the table is away for all, only while each peer
-//!   that it was in touch with lately still hears it. An instance that was in touch and hears the
-//!   leader no more knows that the leader has stopped going beyond, whether it is dead, frozen or cut
-//!   off.
+//! - *Confirmed leadership:* normally, a lease that it requests ends [`HOLD`] after the last time at which
+//!   the table is known to have had its row. An instance that claims the row does so after that time.
+//! - *Mutual contact:* while the table is unavailable to all instances, it requests longer leases, but only
+//!   as long as each peer that was recently in mutual contact still receives its heartbeats. An instance that
+//!   was in mutual contact and no longer receives them knows that the leader has stopped requesting longer
+//!   leases, whether it has ended, is frozen or is cut off.
 //!
-//! So a successor that was in touch waits for some 6.5 s from the leader's last heartbeat at most, in
-//! place of 25 s for a leader of which nothing is heard any more. One that was not in touch waits for
-//! the time for which a leader goes on without being sure that it leads.
+//! So a successor that was in mutual contact waits at most about 6.5 s from the leader's last heartbeat,
+//! instead of 25 s for a leader from which nothing arrives any more. A successor that was not waits for the
+//! time for which a leader continues without confirmed leadership.
 
 use std::time::Duration;
 
@@ -24,54 +24,55 @@
 use crate::ids::CoreTime;
 use crate::peer::{HeartbeatNews, PeerAddress};
 
-/// A peer that has heard what was sent so lately is in touch: three heartbeats of a far member, each
-/// way, and a slow turn.
+/// Age up to which a heartbeat that a peer has received shows that the peer is in contact: three heartbeat
+/// intervals of a non-preferred member, the round trip, and a slow turn of the event loop.
 const IN_TOUCH: Duration = Duration::from_millis(1_300);
-/// Time before the last certain moment in which a peer was in touch that must be so still: such a
-/// peer may rely on it.
+/// Time before the last confirmation of leadership. A peer that was in contact within it must still be,
+/// because such a peer may rely on it.
 const TOUCH_MEMORY: Duration = Duration::from_secs(10);
-/// A successor that was in touch with a leader this lately relies on it: half of the time above, so
-/// that the two need not agree on the moment.
+/// Age of the mutual contact with a leader up to which a successor relies on it: half of the time above, so
+/// that the two need not agree on the exact time.
 const TOUCH_RELIED_ON: Duration = Duration::from_secs(5);
-/// A leader that no peer has heard for so long may have a successor: less than the silence after which
-/// the first one claims.
+/// Time after which a leader whose heartbeats reach no peer may have a successor: less than the time without
+/// contact after which the first one claims.
 const UNHEARD_LONG: Duration = Duration::from_millis(600);
-/// A leader that was certain so lately asks for holds from that moment on: under load each write makes
-/// it certain, some forty times a second.
+/// Age of the last confirmation up to which leases are counted from that confirmation: under load each write
+/// confirms the leadership, about forty times a second.
 const CERTAIN_LATELY: Duration = Duration::from_millis(300);
-/// Added for the ways of orders and for readings of workers' clocks.
+/// Added for the latency of orders and of readings of workers' clocks.
 const ORDER_SLACK: Duration = Duration::from_millis(60);
 
-/// A leader of before.
+/// A former leader.
 #[derive(Clone, Debug)]
 struct FormerLeader {
     address: PeerAddress,
     life: u64,
     epoch: u64,
-    /// When it has surely stopped prolonging holds, beyond what was certain.
+    /// Time by which it has stopped requesting leases that go beyond its confirmed leadership.
     stops_by: CoreTime,
-    /// Whether that is known, and not what could be at worst.
+    /// Whether that time is known, rather than the worst case.
     known: bool,
-    /// Longest hold that it asked for.
+    /// Longest lease that it requested.
     hold: Duration,
 }
 
-/// Leaders of before whose holds may still last.
+/// Former leaders whose leases may still last.
 #[derive(Debug, Default)]
 pub(super) struct FormerLeaders {
     leaders: Vec<FormerLeader>,
-    /// Latest epoch of which it is known who leads or led.
+    /// Latest epoch whose leader is known.
     latest: u64,
-    /// Until when holds of leaders may last of which this instance never heard.
+    /// Until when leases of leaders that are unknown to this instance may last.
     missed_until: CoreTime,
 }
 
 impl FormerLeaders {
-    /// Another epoch is heard of.
+    /// Records that an epoch is known.
     ///
-    /// Leaders between two that it knows are reckoned with as if each went on for as long as one may. Of
-    /// those before its first one an instance that has just started tells nothing: after a loss of all
-    /// each wait would be 25 s. What the ledger has of a worker's hold then goes before the own reckoning.
+    /// An unknown leader between two known epochs is assumed to have continued for as long as a leader may.
+    /// An instance that has just started assumes nothing about leaders before the first epoch that it learns
+    /// of, because after a restart of all instances each wait would be 25 s. The ledger's record of a
+    /// worker's lease then takes precedence over the calculation here.
     fn note_epoch(&mut self, epoch: u64, now: CoreTime, longest: Duration) {
         let first = self.latest == 0;
         let missed = epoch > self.latest + 1;
@@ -91,12 +92,12 @@
         }
     }
 
-    /// Tells whether leaders may have been missed whose holds may still last.
+    /// Returns whether there may be unknown leaders whose leases still last.
     pub(super) fn may_lack_some(&self, now: CoreTime) -> bool {
         now < self.missed_until
     }
 
-    /// When all holds that they asked for are surely over.
+    /// Returns when all leases that former leaders requested have expired.
     pub(super) fn holds_over_at(&self) -> CoreTime {
         let over = |former: &FormerLeader| {
             former.stops_by + former.hold.mul_f64(SLOW_CLOCK_FACTOR) + ORDER_SLACK
@@ -104,14 +105,14 @@
         self.leaders.iter().map(over).max().unwrap_or_default()
     }
 
-    /// Longest time for which a hold lasts that any of them asked for: of a worker that has taken up the
-    /// next token, no hold of theirs is younger than that.
+    /// Returns the longest time for which a lease of any former leader lasts. A worker that has accepted a
+    /// later token accepts no more leases from them, so theirs expire within this time.
     pub(super) fn longest_hold(&self) -> Duration {
         let holds = self.leaders.iter().map(|former| former.hold);
         holds.max().unwrap_or_default().mul_f64(SLOW_CLOCK_FACTOR) + ORDER_SLACK
     }
 
-    /// Whether it is known of all of them when they stopped.
+    /// Returns whether it is known of all former leaders when they stopped.
     pub(super) fn are_known(&self) -> bool {
         self.leaders.iter().all(|former| former.known)
     }
@@ -123,8 +124,8 @@
         self.leaders.push(former);
     }
 
-    /// Takes from a heartbeat that a former leader's life is over, or that it knows that it does not
-    /// lead.
+    /// Learns from a heartbeat that a former leader's process has ended, or that it knows that it no longer
+    /// leads.
     pub(super) fn note_heartbeat(
         &mut self,
         from: PeerAddress,
@@ -137,7 +138,8 @@
             .filter(|former| former.address == from)
         {
             let deposed = !news.leading && news.epoch > former.epoch;
-            // A late word of an earlier life says nothing of it: lives are the times at which they began.
+            // A delayed heartbeat of an earlier process proves neither. A process is numbered by its start
+            // time.
             if news.life > former.life || deposed {
                 former.stops_by = former.stops_by.min(now);
                 former.known = true;
@@ -150,18 +152,18 @@
 }
 
 impl EntryCore {
-    /// Longest hold that is asked of workers.
+    /// Returns the longest lease that is requested from workers.
     pub(super) fn hold_time(&self) -> Duration {
         HOLD.min(self.settings.hold_limit)
     }
 
-    /// Another epoch is heard of.
+    /// Records that an epoch is known.
     pub(super) fn note_epoch(&mut self, epoch: u64) {
         let longest = self.settings.hold_limit;
         self.former_leaders.note_epoch(epoch, self.now, longest);
     }
 
-    /// Notes that another leads after `old`, or this instance.
+    /// Records that another instance or this one has succeeded `old` as leader.
     pub(super) fn note_former_leader(&mut self, old: &LeaderView) {
         let now = self.now;
         let known = self.keeps(SiteGuard::KnownHolds);
@@ -175,7 +177,8 @@
         self.add_former_leader(old, stops_by, known, hold);
     }
 
-    /// Longest hold that a leader asked for, as it or another life at its address has told.
+    /// Returns the longest lease that a leader requested, according to heartbeats of any process at its
+    /// address.
     fn told_hold(&self, old: &LeaderView) -> Option<Duration> {
         if old.address == self.settings.address {
             return Some(self.hold_time());
@@ -184,11 +187,11 @@
         (told > 0 && self.keeps(SiteGuard::KnownHolds)).then(|| Duration::from_millis(told))
     }
 
-    /// Takes from what all members tell that a leader of before, of whose end nothing is known, is in
-    /// touch with nobody, and so does not go beyond what was certain.
+    /// Finds former leaders whose end is unknown but which are in contact with no peer, according to the
+    /// heartbeats of all members. Such a leader requests no leases that go beyond its confirmed leadership.
     ///
-    /// After a loss of all those that come back were in touch with nobody. But whoever the leader could
-    /// be in touch with is a member: if all others are heard, and none of them hears it, nobody is.
+    /// After a restart of all instances, none of them was in contact with the leader. But only members can be
+    /// in contact with it: if all other members are live and none receives its heartbeats, no peer is.
     pub(super) fn note_unheard_leaders(&mut self) {
         if self.former_leaders.are_known() || !self.keeps(SiteGuard::KnownHolds) {
             return;
@@ -199,7 +202,7 @@
             if self.nobody_hears(former) {
                 former.stops_by = former.stops_by.min(now);
                 former.known = true;
-                // Members of one version ask for the same.
+                // Members of the same version request the same lease.
                 former.hold = former.hold.min(own);
             }
         }
@@ -207,7 +210,7 @@
     }
 
     fn nobody_hears(&self, former: &FormerLeader) -> bool {
-        // One that was missed has no address by which members could tell of it.
+        // The address of an unknown leader is not known, so no heartbeat can refer to it.
         let named = former.life > 0 && self.members_known;
         let mut others = self
             .peers
@@ -224,7 +227,7 @@
             })
     }
 
-    /// Notes that the own lead is over, or one whose leader has told that it stopped.
+    /// Records that this instance's leadership has ended, or that of a leader that reported that it stopped.
     pub(super) fn note_ended_leader(&mut self, old: &LeaderView) {
         let hold = self.told_hold(old).unwrap_or(self.settings.hold_limit);
         self.add_former_leader(old, self.now, true, hold);
@@ -249,15 +252,17 @@
         self.former_leaders.add(former, self.now, longest);
     }
 
-    /// Tells whether a leader's life is surely over. A port that refuses is no proof: a cut may answer
-    /// so.
+    /// Returns whether a leader's process is known to have ended. A refused connection does not show that: a
+    /// network cut may have the same effect.
     fn has_ended(&self, old: &LeaderView) -> bool {
         old.ended || old.address == self.settings.address
     }
 
-    /// When a leader was last heard that counted this instance among the peers that must hear it.
+    /// Returns when the last heartbeat came from a leader that required this instance to receive its
+    /// heartbeats; `None` if it did not.
     fn in_touch_until(&self, old: &LeaderView) -> Option<CoreTime> {
-        // On a site of many members a leader hears the far ones too seldom for that.
+        // On a large site, a leader requires this of preferred members only: the others hear from it too
+        // rarely.
         let counted = !self.has_many_members() || self.near.contains(&self.settings.address);
         let peer = self.peers.get(&old.address).filter(|_| counted)?;
         let lately = |at: &CoreTime| self.age(*at) < TOUCH_RELIED_ON;
@@ -268,14 +273,14 @@
             .filter(|at| mutual && same_life && lately(at))
     }
 
-    /// Latest moment until which this leader may have workers hold what they run.
+    /// Returns the latest time until which this leader may request leases.
     pub(super) fn hold_bound(&self) -> CoreTime {
         let hold = self.hold_time();
         let Some(lead) = self.lead.as_deref() else {
             return self.now;
         };
         let certain = (lead.confirmed_at + hold).min(self.now + hold);
-        // Peers are gone through only where it is worth it: this is asked for each look and start.
+        // Scans the peers only if that can make a difference, because this runs for each poll and start.
         let fresh = self.age(lead.confirmed_at) < CERTAIN_LATELY;
         if !fresh
             && (self.all_are_in_touch(lead.confirmed_at) || !self.keeps(SiteGuard::LeaderInTouch))
@@ -286,8 +291,9 @@
         }
     }
 
-    /// Tells whether this leader reaches nobody: no peer that was in touch lately has heard it for as long
-    /// as it takes until another claims, and the table has not told since that it leads.
+    /// Returns whether this leader is cut off: no peer that was recently in contact has received a heartbeat
+    /// for as long as it takes until another instance claims, and the table has not confirmed the leadership
+    /// since then.
     pub(super) fn is_cut_off(&self) -> bool {
         let Some(lead) = self.lead.as_deref() else {
             return false;
@@ -299,8 +305,8 @@
         long(lead.confirmed_at) && last.is_some_and(long)
     }
 
-    /// Tells whether each peer still hears this leader that may rely on it. One that no peer has heard
-    /// at all, though there are some, is in touch with nobody: it may be cut off.
+    /// Returns whether each peer that may rely on this leader still receives its heartbeats. If none ever did
+    /// although there are peers, the leader is in contact with no peer and may be cut off.
     fn all_are_in_touch(&self, certain_at: CoreTime) -> bool {
         let since = certain_at.saturating_sub(TOUCH_MEMORY);
         let mut contacts = self.peers.iter().filter_map(|(address, peer)| {
--- a/crates/bankvalve_queue/src/core/holds.rs
+++ b/crates/bankvalve_queue/src/core/holds.rs
@@ -1,4 +1,4 @@
-//! Holds: prolonged by looks at workers, which answer with their lists.
+//! Lease renewal: polls of workers, which renew their leases and return their run lists.
 
 use std::time::Duration;
 
@@ -13,77 +13,80 @@
 use crate::policy::PolicySwitch;
 use crate::worker::{HoldReport, StartRefusal, WorkerAnswer, WorkerCall};
 
-/// Longest hold that is asked for; a lost worker's tasks start again only when it is over,
-/// and what a cut-off worker runs lives so long.
+/// Longest lease that a leader requests. A lost worker's tasks start again only after its lease has
+/// expired, and a worker that is cut off keeps its runs for that long.
 ///
-/// **NOTE:** Each life tells it to its peers, which reckon with it for earlier lives at its address
-/// as well. A version that asks for less must tell the longer one as long as lives before it may have
-/// asked for that.
+/// **NOTE:** Each process sends this value to its peers, which also apply it to earlier processes at its
+/// address. A version with a shorter lease must send the longer value for as long as earlier processes may
+/// have requested it.
 pub(super) const HOLD: Duration = Duration::from_millis(5_000);
-/// Longest that a worker waits for an end before it answers.
+/// Longest time for which a worker waits for the end of a run before it answers a poll.
 const LOOK_WAIT: Duration = Duration::from_millis(900);
-/// The same for a worker with runs whose end is urgent: an answer that is lost shows only when the
-/// wait is over, and a short lookup takes about as long.
+/// Longest such wait of a worker with urgent runs. The leader notices a lost answer only after the wait, and
+/// a short lookup takes about as long.
 const URGENT_LOOK_WAIT: Duration = Duration::from_millis(350);
-/// The same for a worker that a suspect has to itself: how soon after the start it ends is what tells a
-/// guilty task from one that was there by chance, and trials are few and short.
+/// Longest such wait of a worker with an isolated suspect. How soon after the start the worker ends shows
+/// whether the task crashes its workers or was there by chance. Trials are few and short.
 const TRIAL_LOOK_WAIT: Duration = Duration::from_millis(50);
-/// Longest time for the way there and back, and a slow worker.
+/// Longest time allowed for the round trip of a poll and a slow worker, beyond the wait.
 const LOOK_SLACK: Duration = Duration::from_millis(600);
-/// Time beyond a call's own after which its answer does not come any more: the link tells of each
-/// call in time, unless the core's ring was full.
+/// Time beyond a call's own timeout after which its answer counts as lost. The link reports the outcome of
+/// each call in time, unless the core's event ring was full.
 const LOST_ANSWER: Duration = Duration::from_millis(1_000);
-/// Least time between two looks, so that ends that come close together travel together.
+/// Shortest interval between two polls, so that one answer reports ends in quick succession.
 const LOOK_PACE: Duration = Duration::from_millis(15);
-/// Pause of looks while ends wait to be kept.
+/// Pause between polls while reported ends wait to be committed.
 const KEEP_PAUSE: Duration = Duration::from_millis(500);
-/// A worker that was heard so lately has left one look without an answer, no more.
+/// Time since the last contact within which a worker has left at most one poll unanswered.
 const FIRST_SILENCE: Duration = Duration::from_millis(1_300);
-/// Pause after a look that the worker's port refused: a new process there is found within it.
+/// Pause after a poll that the worker's port refused, so that a new process there is found soon.
 const REFUSED_PAUSE: Duration = Duration::from_millis(50);
-/// Pause after a look without an answer.
+/// Pause after a poll without an answer. After the first such poll there is none.
 const SILENT_PAUSE: Duration = Duration::from_millis(250);
-/// The same for a worker that runs nothing, on a site of many workers.
+/// Longest wait before the answer of a worker that runs nothing, on a site with many workers.
 const IDLE_LOOK_WAIT: Duration = Duration::from_millis(2_000);
-/// Workers from which on a site has many, so that looks at idle ones are a load.
+/// Number of workers above which the load of polling idle ones matters.
 const MANY_WORKERS: usize = 500;
-/// First looks on their way at once: each needs a new connection, and thousands of them would
-/// take the processor for longer than any of them waits.
+/// Most first polls in flight at once. Each needs a new connection, and thousands of them would occupy the
+/// CPU for longer than their timeout.
 const FIRST_LOOKS: usize = 150;
-/// Looks on their way at workers that were silent before, at least, and as a divisor of all workers:
-/// when all are silent it is the leader's own link or processor, and to ask all of them again and
-/// again, each on a new connection, keeps it so.
+/// Smallest limit on polls in flight to unresponsive workers.
 const SILENT_LOOKS: usize = 8;
+/// Divisor of the number of workers that gives this limit. When all workers are unresponsive, the cause is
+/// the leader's own link or CPU, and polling all of them repeatedly, each on a new connection, would prolong
+/// that.
 const SILENT_SHARE: usize = 16;
-/// Silence for which a worker that keeps its own entry in the table is waited for: it lives, and
-/// its lists will tell which of its runs ended well. Their tasks start elsewhere some seconds later
-/// than its hold would allow, in place of running to their ends twice.
+/// Time without contact for which the leader waits for a worker that keeps its own entry in the table. It is
+/// running, and its run lists will show which of its runs succeeded. Their tasks start elsewhere some
+/// seconds later than its lease would allow, instead of running to completion twice.
 const LISTED_SILENCE: Duration = Duration::from_millis(10_000);
-/// The same while many workers are silent at once, which is as a rule the leader's own doing.
+/// Such a time while many workers are unresponsive at once, usually because of a fault of the leader itself.
 const COMMON_SILENCE: Duration = Duration::from_millis(30_000);
-/// Workers with runs that are silent at once, as a divisor of all with runs, and at least, from
-/// which on the silence counts as common.
+/// Divisor of the number of workers with runs that gives how many of them count as many unresponsive ones.
 const COMMON_SHARE: usize = 4;
+/// Smallest number of workers with runs that counts as many unresponsive ones.
 const COMMON_LEAST: usize = 3;
-/// A worker that was heard so lately has its hold prolonged: after a look whose answer is lost (1.5 s)
-/// once more. The tasks of a worker that is lost start again no sooner than that and a hold later.
+/// Time since the last contact within which a worker's lease is renewed. It allows one more renewal after a
+/// poll whose answer is lost (1.5 s). A lost worker's tasks start again no sooner than this time and a lease
+/// after the last contact.
 pub(super) const PROLONG_IF_HEARD: Duration = Duration::from_millis(1_600);
-/// Longest that a leader commands workers without being sure that it leads.
+/// Longest time for which a leader sends calls to workers without confirmation of its leadership.
 pub(super) const UNCONFIRMED_LIMIT: Duration = Duration::from_secs(15);
-/// A clock of a worker may run 2% slow, and answers take their way.
+/// Factor for the longest time that a lease takes by a worker's clock: the clock may run 2% slow, and answers
+/// take time to arrive.
 pub(super) const SLOW_CLOCK_FACTOR: f64 = 1.03;
-/// Silence after which an unlisted worker without runs is forgotten.
+/// Time without contact after which a worker without entry and runs is forgotten.
 const FORGET_SEAT: Duration = Duration::from_secs(8);
 
 impl EntryCore {
-    /// Whether this leader may still command workers.
+    /// Returns whether this leader may still send calls to workers.
     pub(super) fn may_command(&self) -> bool {
         self.lead
             .as_ref()
             .is_some_and(|lead| self.age(lead.confirmed_at) < UNCONFIRMED_LIMIT)
     }
 
-    /// Looks at workers that are due, and gives up those whose holds are over.
+    /// Polls workers that are due, and declares lost those whose leases have expired.
     pub(super) fn run_holds(&mut self) {
         self.watch_waits();
         if !self.may_command() {
@@ -101,7 +104,7 @@
             return;
         };
         let mut due = Vec::new();
-        // A worker's word may wait behind the event that is being taken.
+        // A worker's answer may be queued behind the event that is being handled.
         let seen = now.saturating_sub(self.lag);
         let is_silent = |seat: &Seat| !seat.is_heard(seen, SILENT_LONG);
         let (mut first_looks, mut silent_looks) = (0, 0);
@@ -162,7 +165,7 @@
         }
     }
 
-    /// Silence for which a worker that is listed is waited for.
+    /// Returns the time without contact for which the leader waits for a worker whose entry exists.
     pub(super) fn silence_patience(&self, lead: &LeadState) -> Duration {
         if !self.keeps(SiteGuard::LateDone) {
             return Duration::ZERO;
@@ -180,11 +183,11 @@
         }
     }
 
-    /// Ends the runs on a worker whose hold is over and which is waited for, of which its lists will tell
-    /// no good end: their tasks would wait for nothing. If an order did arrive after all, its good end
-    /// counts when it comes.
+    /// Ends those runs on a worker with an expired lease for which its run lists will report no success,
+    /// while the leader still waits for the worker: their tasks would wait for nothing. If an order did
+    /// arrive, a success that is reported later still counts.
     ///
-    /// Its entry stands, so nothing tells that the worker has ended.
+    /// The worker's entry still exists, so nothing shows that the worker has ended.
     fn give_up_untold(&mut self, id: &WorkerId) {
         let now = self.now;
         let lead = self.lead.as_deref();
@@ -201,14 +204,14 @@
         }
     }
 
-    /// Tells whether all that runs on a silent worker has surely ended.
+    /// Returns whether all runs on an unresponsive worker are known to have ended.
     fn is_over(&self, id: &WorkerId, seat: &Seat) -> bool {
         if !self.keeps(SiteGuard::HoldOver) {
             return true;
         }
         let former = self.former_holds_over_at(id);
         if !seat.proved {
-            // It may live, and answer: it is asked once, if its entry is there.
+            // The worker may be running: it is polled once before, if its entry exists.
             let asked = !seat.listed || seat.unanswered > 0;
             let workers_known = self.lead.as_deref().is_some_and(|lead| lead.workers_known);
             return self.now > former && workers_known && asked;
@@ -217,7 +220,7 @@
         self.now > former.min(taken) && seat.hold_is_over(self.now)
     }
 
-    /// Looks at a worker at once if that is due, without going through all of them.
+    /// Polls a worker at once if that is due, without scanning all workers.
     pub(super) fn look_if_due(&mut self, id: &WorkerId) {
         let now = self.now;
         let seat = self.lead.as_ref().and_then(|lead| lead.seats.get(id));
@@ -251,8 +254,8 @@
         let connection = seat.acknowledges_on(carrier);
         let acknowledges = connection.map_or(0, |_| seat.kept);
         let settled = seat.seen == seat.kept && (!seat.has_kept_ends() || connection.is_some());
-        // One lost answer is made up for at once: a second wait would take it past the silence from which
-        // on its hold is not prolonged.
+        // After a lost answer the worker does not wait. A second wait would exceed the time since the last
+        // contact within which its lease is renewed.
         let wait = if !(seat.proved && settled && heard) || seat.unanswered > 0 {
             Duration::ZERO
         } else if seat.is_on_trial() {
@@ -345,7 +348,7 @@
             self.read_leader_row();
             return;
         }
-        // Of a process that another has followed, an answer tells nothing any more.
+        // An answer of a process that another one has replaced is of no use.
         let Some(seat) = lead.seats.of_mut(&open.worker) else {
             return;
         };
@@ -353,7 +356,7 @@
         match answer {
             WorkerAnswer::OtherLife => {
                 if let CallPurpose::Start { task, .. } = purpose {
-                    // The other life has turned the order away: it was not carried out.
+                    // The other process has refused the order, so it was not executed.
                     if let Some(live) = seat.runs.get_mut(task) {
                         live.busy = false;
                     }
@@ -379,7 +382,7 @@
         }
     }
 
-    /// Takes the answer to a look that acknowledged ends up to a number.
+    /// Handles the answer to a poll that acknowledged ends up to a number.
     fn end_look(
         &mut self,
         id: &WorkerId,
@@ -413,7 +416,7 @@
                 }
                 self.end_answered_look(id, sent_at, report, *clock_ms);
             }
-            // Its connection has ended, which tells nothing of the worker: it is asked on another one.
+            // The only connection allowed has closed, which shows nothing about the worker: poll it again.
             WorkerAnswer::NotSent if acknowledged > 0 => {
                 self.counters.count("retries", "connection_ended");
                 if let Some(seat) = self.lead_seat(id) {
@@ -430,9 +433,9 @@
         let Some(seat) = self.lead_seat(id) else {
             return;
         };
-        // One lost answer is asked for anew at once; a worker that stays silent is not pressed.
+        // Polls again at once after a first lost answer, and after a pause if the worker stays unresponsive.
         let first_silence = seat.is_heard(now, FIRST_SILENCE);
-        // A connection that is not made in time is silence and speaks against nobody.
+        // A connection timeout counts as no answer, and is no evidence that the worker has ended.
         seat.refused = *answer == WorkerAnswer::PortRefused;
         if seat.refused {
             seat.refused_at.get_or_insert(now);
@@ -448,7 +451,7 @@
         let unanswered = seat.unanswered;
         if unanswered.is_power_of_two() {
             self.log_often("workers", "silent", || {
-                let detail = format!("{answer:?} after {asked:?}, look {unanswered}, {runs} runs");
+                let detail = format!("{answer:?} after {asked:?}, poll {unanswered}, {runs} runs");
                 (id.to_string(), detail)
             });
         }
--- a/crates/bankvalve_queue/src/core/incarnation.rs
+++ b/crates/bankvalve_queue/src/core/incarnation.rs
@@ -1,18 +1,18 @@
-//! The processes of a worker, one after the other under one id.
+//! Incarnations: the successive processes of a worker under one id.
 //!
-//! A worker may start again under its id. The next process holds nothing, has seen no fencing token,
-//! numbers its ends from one and reads another clock. So all that a leader knows of a worker, its
-//! [`Seat`], belongs to one process and is replaced with it, and what refers to a process from
-//! elsewhere bears its [`Incarnation`] in place of the worker's id.
+//! A worker may restart under its id. The new process runs nothing, has seen no fencing token, numbers its
+//! ends from one and has another clock. So everything that a leader knows about a worker, its [`Seat`],
+//! belongs to one process and is replaced with it. References to a process from elsewhere contain its
+//! [`Incarnation`] instead of the worker's id.
 //!
-//! Which process answers is told by the start that its lists bear. Looks at a worker are sent one at a
-//! time, so that of two lists the one that came later is newer. Starts are times of day, which step back, so
-//! they tell only whether two processes differ. An entry may be older or newer than a list: while they
-//! are of different processes, nothing starts by that entry.
+//! The start time in a worker's run lists identifies the process that answers. Only one poll of a worker is
+//! in flight at a time, so the lists that arrive later are newer. Start times are times of day, which may go
+//! back, so they show only whether two processes differ. A worker's entry may be older or newer than its run
+//! lists. While they come from different processes, no run starts based on that entry.
 //!
-//! Calls name the worker's id alone, so one that was meant for a process may reach the next. What it
-//! may have begun there is found in the new lists; what it may still begin is stopped first, which
-//! makes the worker turn the order away.
+//! Calls name only the worker's id, so a call that was meant for one process may reach the next. A run that
+//! it may have started there appears in the new lists. A run that it may still start is stopped first, which
+//! makes the worker refuse the start order.
 
 use std::collections::BTreeSet;
 
@@ -23,7 +23,7 @@
 use crate::ids::{CoreTime, RunId, TaskKey, WorkerId};
 use crate::worker::HoldReport;
 
-/// One process of a worker, as this leader counts them.
+/// One process of a worker, numbered by this leader.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct Incarnation {
     pub(super) worker: WorkerId,
@@ -31,10 +31,11 @@
 }
 
 impl EntryCore {
-    /// Takes from a list which process of a worker answers, and begins anew if that is another one.
+    /// Determines from run lists which process of a worker answers, and starts a new incarnation if it is
+    /// another one.
     ///
-    /// Returns whether the list can be used: of one that does not tell its process, though that was told
-    /// before, it is not known whose numbers it bears.
+    /// Returns whether the lists can be used. If they lack the start of the process although earlier ones had
+    /// it, it is not known which process numbered their ends.
     pub(super) fn identify_process(
         &mut self,
         id: &WorkerId,
@@ -62,8 +63,8 @@
         true
     }
 
-    /// Another process of a worker answers: the runs of the one before have ended, but for those that an
-    /// order on its way may have begun, or begins yet, in the new one.
+    /// Starts a new incarnation of a worker. The runs of the previous process have ended, except those that
+    /// the new one has started from an order in flight, or may still start.
     fn begin_incarnation(
         &mut self,
         id: &WorkerId,
@@ -90,7 +91,7 @@
         if !own_numbers {
             (seat.seen, seat.kept) = (before.seen, before.kept);
         }
-        // A deadline by the old clock may be any time ahead on the new one: the worker cuts it to this.
+        // A deadline by the old clock may be far in the future on the new one: the worker limits it to this.
         let held = clock_ms.map(|clock| clock + hold_limit.as_millis() as u64);
         seat.granted_until = match own_clock {
             true => held.unwrap_or(0),
@@ -106,7 +107,7 @@
         lead.stale = true;
     }
 
-    /// Takes the runs of a worker off that its next process has or may yet begin.
+    /// Removes and returns the runs of a worker that its next process has or may still start.
     fn take_moved_runs(
         &mut self,
         id: &WorkerId,
@@ -130,7 +131,7 @@
             if live.may_arrive_late() {
                 return Some((*task, live.clone().stopped_after(how(), now)));
             }
-            // The list may be older than its start: the next one tells which process has begun it.
+            // The list may be older than the run's start. The next one shows which process has started it.
             let since_asked = live.is_running_since(sent_at);
             since_asked.then(|| (*task, live.clone().or_ended_as(how())))
         });
--- a/crates/bankvalve_queue/src/core/restarts.rs
+++ b/crates/bankvalve_queue/src/core/restarts.rs
@@ -1,4 +1,5 @@
-//! Why a task whose run has ended has not started again. Nothing is decided here.
+//! Tracking of tasks whose run has ended and that have not started again, for logs and metrics. This module
+//! decides nothing.
 
 use std::time::Duration;
 
@@ -9,13 +10,12 @@
 use crate::job::TaskSize;
 use crate::ledger::{JobOutcome, TaskPhase};
 
-/// Wait for a start after a run's end that is told: some five times what an end, a placement and a
-/// start take on a calm day.
+/// Time after a run's end from which on a wait for the next start is reported: about five times what an end,
+/// a placement and a start take without faults.
 const START_WAIT: Duration = Duration::from_secs(2);
 
 impl EntryCore {
-    /// Tells of tasks that have waited for long since their run ended, and forgets those that wait no
-    /// more.
+    /// Logs tasks that have waited long since their run ended, and stops tracking those that no longer wait.
     pub(super) fn watch_ended(&mut self) {
         let now = self.now;
         let Some(lead) = self.lead.as_deref_mut() else {
@@ -49,7 +49,7 @@
         }
     }
 
-    /// Tells whether a task has not been placed since a run ended.
+    /// Returns whether a task has not been placed again since a run ended.
     fn still_waits(&self, task: TaskKey, run: RunId) -> bool {
         let job = self.book.job(task.step.job);
         let open = job.filter(|job| job.outcome == JobOutcome::Open);
@@ -61,8 +61,8 @@
             })
     }
 
-    /// Why a task has not started, as far as that is told cheaply; `most` keeps the most room that is
-    /// free on whichever workers.
+    /// Returns why a task has not started, as far as cheap checks show. `most` caches the largest free
+    /// capacity of each kind on any worker.
     fn start_wait(&self, task: TaskKey, most: &mut Option<TaskSize>) -> StartWait {
         let now = self.now;
         let (Some(lead), Some(job)) = (self.lead.as_deref(), self.book.job(task.step.job)) else {
--- a/crates/bankvalve_queue/src/core/returning.rs
+++ b/crates/bankvalve_queue/src/core/returning.rs
@@ -1,12 +1,12 @@
-//! Permits and room for tasks that last and are away, or soon will be.
+//! Preparation of permits and capacity for long-running tasks that are down or soon will be.
 //!
-//! Such a task may be away for nine seconds in all, of which its last worker's hold takes most. What is
-//! left is too short for what a start needs one after the other: to ask the policy service about
-//! workers, to find room on one that is good among short work in plenty, and to renew its permit. So
-//! the leader asks as soon as a worker is silent that runs one, about many workers at once, whether
-//! they have room or not; a little before the run can be given up it keeps room on workers that are known
-//! to be good, and has permits for them that last until the start. None of this needs the table, and
-//! what is kept stands until the start is decided on.
+//! Such a task may be down for nine seconds in total, and the lease of its last worker takes most of them.
+//! The rest is too short for the steps of a start one after the other: to ask the policy service about
+//! workers, to find capacity on an allowed one while many short tasks compete for it, and to renew its
+//! permit. So the leader requests advice as soon as a worker that runs such a task stops responding, about
+//! many workers at once, whether they have free capacity or not. Shortly before the run can be declared
+//! lost, it reserves capacity on allowed workers and gets permits for them that are valid until the start.
+//! None of this needs the table. Reservations are renewed until the start is decided.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -23,76 +23,81 @@
 use crate::ledger::{JobOutcome, TaskPhase, TaskRecord};
 use crate::queue_table::AdviceRule;
 
-/// Time between two looks at tasks that last; added to it for each of them, and for each step that is
-/// seen to: room for one is planned on all workers that are good for it.
+/// Interval between two scans of long-running tasks.
 const LOOK_PACE: Duration = Duration::from_millis(50);
+/// Added to the interval for each task that is scanned.
 const LOOK_EACH: Duration = Duration::from_micros(20);
+/// Added to the interval for each step that is prepared: its capacity is planned on all workers that are
+/// allowed for it.
 const PLAN_EACH: Duration = Duration::from_millis(2);
-/// Time before a run can be given up from which on room is kept for its task: a question to the policy
-/// service and the end of a short run.
+/// Time before a run can be declared lost at which capacity is reserved for its task: an advice request and
+/// the end of a short run take about as long.
 const KEEP_AHEAD: Duration = Duration::from_millis(1_500);
-/// Time for which room is kept beyond the next look, which keeps it on.
+/// Time for which capacity is reserved beyond the next scan, which renews the reservation.
 const KEEP_TIME: Duration = Duration::from_millis(600);
-/// Share of all room that is kept for such tasks at most, in percent.
+/// Largest share of all capacity that is reserved for such tasks, in percent.
 const KEPT_PERCENT: u64 = 25;
-/// Good workers that are wanted for each task, and besides.
+/// Allowed workers that are wanted for each task.
 const GOOD_PER_TASK: usize = 2;
+/// Allowed workers that are wanted in addition, for each step.
 const GOOD_SPARE: usize = 4;
-/// Workers asked about for each good one that is missing, at least and at most.
+/// Workers in an advice request for each allowed worker that is missing.
 const ASK_PER_GOOD: usize = 4;
+/// Fewest workers in an advice request.
 const ASK_LEAST: usize = 16;
+/// Most workers in an advice request.
 const ASK_MOST: usize = 100;
 
-/// A step with tasks that last and are away, or soon will be.
+/// A step with long-running tasks that are down or soon will be.
 #[derive(Clone, Debug, Default)]
 pub(super) struct ReturningStep {
-    /// Since when one of them has been away, by the time of day; 0 if none is known to be.
+    /// Since when one of them has been down, in Unix milliseconds; 0 if that is not known.
     since: u64,
-    /// Tasks for which room is kept.
+    /// Tasks for which capacity is reserved now.
     due: Vec<TaskKey>,
-    /// Tasks that will need it later, as far as is known.
+    /// Number of tasks that are expected to need it later.
     later: usize,
-    /// What is at hand for them.
+    /// What is prepared for them.
     ready: ReadyCounts,
 }
 
-/// What is at hand for a step's tasks.
+/// Numbers of what is prepared for a step's tasks.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 struct ReadyCounts {
-    /// Workers that are known to be good and may be used.
+    /// Workers that the policy service allows and that may take a task.
     good: usize,
-    /// Rooms that are kept.
+    /// Reservations.
     kept: usize,
-    /// Those of them that are free.
+    /// Reservations whose capacity is free already.
     free: usize,
-    /// Those of them with a permit.
+    /// Reservations with a valid permit.
     permits: usize,
 }
 
 impl ReturningStep {
-    /// Whether room and permits for all these tasks are seen to here.
+    /// Returns whether capacity and permits are prepared for all these tasks.
     pub(super) fn covers(&self, tasks: &[TaskKey]) -> bool {
         tasks.iter().all(|task| self.due.contains(task))
     }
 
-    /// Whether room is kept that is not free yet.
+    /// Returns whether capacity is reserved but none of it is free yet.
     pub(super) fn awaits_room(&self) -> bool {
         self.ready.kept > 0 && self.ready.free == 0
     }
 }
 
-/// How a task that lasts stands.
+/// Whether a long-running task needs a restart.
 enum Standing {
-    /// It runs, or its start is on its way.
+    /// It runs, or its start is in progress.
     Runs,
-    /// Its worker is silent, and it is too early to keep room.
+    /// Its worker does not respond, but it is too early to reserve capacity.
     Silent,
-    /// It is started as soon as can be.
+    /// It is down, or its run can be declared lost soon.
     Due,
 }
 
 impl EntryCore {
-    /// Has permits and room at hand for tasks that last whose runs are over or soon will be.
+    /// Prepares permits and capacity for long-running tasks whose runs have ended or soon will.
     pub(super) fn run_returning(&mut self) {
         let now = self.now;
         let may_look = self.may_command() && self.keeps(SiteGuard::ReadyReturn);
@@ -139,7 +144,7 @@
         }
     }
 
-    /// Notes what is at hand for a step, and logs what has changed.
+    /// Records what is prepared for a step, and logs changes.
     fn note_ready(&mut self, key: StepKey, before: Option<ReadyCounts>, ready: ReadyCounts) {
         let Some(lead) = self.lead.as_deref_mut() else {
             return;
@@ -160,14 +165,14 @@
                 permits,
             } = ready;
             let detail = format!(
-                "{due} tasks to start, {later} whose workers are silent: {good} workers known to be \
-                 good, room kept on {kept}, free on {free}, {permits} permits there"
+                "{due} tasks to start, {later} whose workers do not respond: {good} allowed workers known, \
+                 capacity reserved on {kept}, free on {free}, {permits} permits for them"
             );
             (key.to_string(), detail)
         });
     }
 
-    /// Tasks of a step that last and are away or soon will be, and how many were looked at.
+    /// Returns the number of a step's tasks that were scanned, and those that are down or soon will be.
     fn returning_step(
         &self,
         lead: &LeadState,
@@ -213,7 +218,7 @@
         patience: Duration,
     ) -> Standing {
         let (worker, run) = match &task.phase {
-            // One that never ran has not been away.
+            // A task that has never run has no downtime.
             TaskPhase::Waiting if task.last_run > 0 => return Standing::Due,
             TaskPhase::Placed { worker, run } => (worker, *run),
             _ => return Standing::Runs,
@@ -222,7 +227,7 @@
             return Standing::Silent;
         };
         if seat.runs.get(&key).is_none_or(|live| live.run != run) {
-            // It was given up, which is not kept yet.
+            // The run was declared lost, but its end is not committed yet.
             return Standing::Due;
         }
         let silent = self.age(seat.heard_at.unwrap_or(seat.known_at));
@@ -246,7 +251,7 @@
         }
     }
 
-    /// Room that may be kept for tasks that last, in millicores.
+    /// Returns the capacity that may be reserved for long-running tasks, in millicores.
     fn room_to_keep(&self) -> u64 {
         let now = self.now;
         let lead = self.lead.as_deref();
@@ -256,7 +261,7 @@
         all * KEPT_PERCENT / 100
     }
 
-    /// Asks for what a step's start needs, and keeps room for it.
+    /// Requests what a step's start needs, and reserves capacity for it.
     fn prepare_step(&mut self, key: StepKey, budget: &mut u64) -> ReadyCounts {
         let mut ready = ReadyCounts::default();
         let Some(lead) = self.lead.as_deref() else {
@@ -286,7 +291,7 @@
         ready
     }
 
-    /// Plans whose workers a start could go to now, by their permits.
+    /// Returns the number of plans for whose workers there is a permit that is valid long enough for a start.
     fn permits_for(&self, step: &PlacedStep, plans: &[RoomPlan]) -> usize {
         let lead = self.lead.as_deref();
         let Some((lead, advice)) = lead.and_then(|lead| Some((lead, lead.advice.get(&step.key)?)))
@@ -300,8 +305,8 @@
             .count()
     }
 
-    /// Asks about workers, with room or without, until enough good ones are known; tells how many
-    /// are.
+    /// Requests advice about workers, with free capacity or without, until enough allowed ones are known.
+    /// Returns how many are known.
     fn ask_ahead(&mut self, step: &PlacedStep, rule: AdviceRule, tasks: usize) -> usize {
         let now = self.now;
         let Some(lead) = self.lead.as_deref() else {
@@ -331,7 +336,7 @@
         good
     }
 
-    /// Keeps room for so many tasks of a step on workers that may run it, where it is free the soonest.
+    /// Reserves capacity for a number of tasks of a step on allowed workers, where it is free soonest.
     fn keep_for_return(&mut self, step: &PlacedStep, tasks: usize) -> Vec<RoomPlan> {
         let now = self.now;
         let plans = self.plan_return(step, tasks);
@@ -342,7 +347,8 @@
         for seat in lead.seats.values_mut() {
             seat.drop_reservation(step.key, now);
         }
-        // What short work keeps there gives way; it is kept anew elsewhere.
+        // Drops other steps' reservations there unless they are also for restarts; they are made again
+        // elsewhere.
         let returning: Vec<StepKey> = lead.returning.keys().copied().collect();
         for plan in &plans {
             if let Some(seat) = lead.seats.get_mut(plan.worker()) {
@@ -354,7 +360,7 @@
         plans
     }
 
-    /// Renews permits for workers whose room is there about when they come.
+    /// Renews permits for workers whose capacity becomes free at about the time when the permits arrive.
     fn renew_ahead(&mut self, step: &PlacedStep, rule: AdviceRule, plans: &[RoomPlan]) {
         let now = self.now;
         let Some(lead) = self.lead.as_deref() else {
@@ -378,7 +384,7 @@
     }
 }
 
-/// Whether a step's tasks are looked after here.
+/// Returns whether restarts of a step's tasks are prepared here.
 pub(super) fn sees_to(lead: &LeadState, step: &PlacedStep) -> bool {
     let returning = lead.returning.get(&step.key);
     step.is_among_others() && returning.is_some_and(|returning| returning.covers(&step.tasks))
--- a/crates/bankvalve_queue/src/core/stopped_holds.rs
+++ b/crates/bankvalve_queue/src/core/stopped_holds.rs
@@ -1,15 +1,15 @@
-//! Workers whose holds are not prolonged, as the ledger tells: what a leader knows of a silent worker
-//! outlives the leader.
+//! Workers whose leases no leader renews, as recorded in the ledger. The record lets a successor use what
+//! its predecessor knew about an unresponsive worker.
 //!
-//! The pattern that it answers: a worker is lost, and its leader some seconds after it. The successor
-//! would wait for the longest hold that may have been asked for, from the leader's end on, and the next
-//! successor again. So a leader that has not heard a worker for a while keeps in the ledger that it
-//! prolongs its hold no more, and when that is over at the latest. From then on no leader prolongs
-//! it, whatever it hears, before the ledger has that it does again: the writes of a leader that has
-//! lost its lead fail, so a successor that has read the ledger may rely on what stands there.
+//! Problem: a worker is lost, and its leader some seconds later. Without a record, the successor waits for
+//! the longest lease that may have been requested, counted from the leader's end, and so does the next
+//! successor. So a leader that has been out of contact with a worker for a while records in the ledger that
+//! it no longer renews the worker's lease, and when the lease has expired. From then on no leader renews the
+//! lease, even if the worker answers, until the ledger records that renewal resumes. The writes of a leader
+//! that has lost its leadership fail, so a successor that has read the ledger can rely on the record.
 //!
-//! Two small events for a worker that falls silent, some 50 bytes each; none for an answer that is lost
-//! now and then.
+//! This costs two events of about 50 bytes each for a worker that stops responding, and none for an
+//! occasional lost answer.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -23,53 +23,56 @@
 use crate::ids::{CoreTime, WorkerId};
 use crate::ledger::LedgerEvent;
 
-/// Silence of a worker with runs after which it is kept that its hold is not prolonged, where its port
-/// refuses or its entry is gone: just more than the silence in which looks still prolong it.
+/// Time without contact after which the ledger records that the lease of a worker with runs is no longer
+/// renewed, if the worker's port refuses connections or its entry is gone. It is slightly longer than the
+/// time in which polls still renew the lease.
 const STOP_AFTER: Duration = Duration::from_millis(1_700);
-/// The same where nothing else speaks against it: a look that waits, a silence of 1.5 s, and a look that
-/// is given up in it. A worker that is silent for less, just before the table is slow or away, so that
-/// nothing can be kept, would lose what it runs.
+/// Such a time if there is no other sign of a loss: a poll that waits, 1.5 s without contact, and a poll that
+/// times out meanwhile. With a shorter time, a worker that does not respond for a moment, just before the
+/// table becomes slow or unavailable, would lose its runs, because resuming its lease could not be committed.
 const STOP_AFTER_SILENCE: Duration = Duration::from_millis(3_400);
-/// Added to the usual silence of a worker whose looks wait for longer.
+/// Added to the usual time between answers of a worker whose polls wait longer.
 const LOOK_PROLONGS: Duration = Duration::from_millis(100);
-/// Age of the last certain moment up to which the table is taken to answer: a question of an idle leader,
-/// and one that is slow.
+/// Age of the last confirmation of leadership up to which the table is assumed to answer: one request of an
+/// idle leader, and one slow request.
 const TABLE_ANSWERS: Duration = Duration::from_millis(1_500);
-/// Looks at a worker that this leader never heard without an answer, for the same.
+/// Unanswered polls after which the same is recorded for a worker that never answered this leader.
 const STOP_UNANSWERED: u32 = 2;
-/// A hold that is known to be over by so much sooner than was kept is kept anew, for the next leader: the
-/// one before may have been heard again since.
+/// Difference by which a lease must expire sooner than recorded to be recorded again, for the next leader. A
+/// recorded time can be too late: if a former leader sends heartbeats again, its end becomes known.
 const KEPT_ANEW: Duration = Duration::from_secs(1);
-/// Workers with runs that are silent at once, as a divisor of all of them and at least, from which on
-/// nothing is kept: it is the leader's own link or processor, and each of them would cost two events.
+/// Divisor of the number of workers with runs that gives how many of them may be unresponsive at once. If
+/// more are, nothing is recorded: the cause is the leader's own link or CPU, and each of them would cost two
+/// events.
 const COMMON_SHARE: usize = 2;
+/// Smallest number of unresponsive workers with runs for which nothing is recorded.
 const COMMON_LEAST: usize = 4;
 
-/// A hold that is not prolonged any more.
+/// A lease that is no longer renewed.
 #[derive(Clone, Copy, Debug)]
 struct StoppedHold {
-    /// When it is surely over.
+    /// Time by which it has expired.
     over_at: CoreTime,
-    /// When this instance heard of it; the worker has been silent since before.
+    /// When this instance learned of it. The worker had been out of contact for some time before.
     known_at: CoreTime,
 }
 
-/// Workers whose holds are not prolonged.
+/// Workers whose leases are not renewed.
 #[derive(Debug, Default)]
 pub(super) struct StoppedHolds(BTreeMap<WorkerId, StoppedHold>);
 
 impl StoppedHolds {
-    /// When the hold of a worker is surely over, if it is not prolonged any more.
+    /// Returns the time by which a worker's lease has expired, if it is no longer renewed.
     pub(super) fn over_at(&self, worker: &WorkerId) -> Option<CoreTime> {
         self.0.get(worker).map(|hold| hold.over_at)
     }
 
-    /// Since when a worker has been silent at the latest, if its hold is not prolonged any more.
+    /// Returns a time since which a worker has been out of contact, if its lease is no longer renewed.
     pub(super) fn silent_since(&self, worker: &WorkerId) -> Option<CoreTime> {
         self.0.get(worker).map(|hold| hold.known_at)
     }
 
-    /// How a worker's hold stands for one that has the ledger.
+    /// Returns whether a worker's lease may be renewed according to the ledger.
     pub(super) fn state_of(&self, worker: &WorkerId) -> HoldStop {
         match self.0.contains_key(worker) {
             true => HoldStop::Stopped,
@@ -77,17 +80,18 @@
         }
     }
 
-    /// Forgets all, for the ledger is read anew.
+    /// Removes all records, because the ledger is read again.
     pub(super) fn clear(&mut self) {
         self.0.clear();
     }
 }
 
 impl EntryCore {
-    /// Applies an event of the ledger to what is made of it.
+    /// Applies a ledger event to the state that is built from the ledger.
     pub(super) fn apply_event(&mut self, event: &LedgerEvent) {
         match event {
-            // It was reckoned when the event was made, so counted from now it is no sooner.
+            // The time left was calculated when the event was proposed, so counted from now it is long
+            // enough.
             LedgerEvent::HoldStopped { worker, over_ms } => {
                 let now = self.now;
                 let over_at = now + Duration::from_millis(*over_ms);
@@ -105,12 +109,12 @@
         }
     }
 
-    /// When no hold of a worker by leaders of before can last any more.
+    /// Returns when no lease that former leaders requested from a worker can last any longer.
     pub(super) fn former_holds_over_at(&self, worker: &WorkerId) -> CoreTime {
         let former = self.former_leaders.holds_over_at();
         let began_at = self.lead.as_deref().map(|lead| lead.began_at);
         let own = |hold: &&StoppedHold| began_at.is_some_and(|began_at| hold.known_at >= began_at);
-        // What this leader itself has kept is what it assumed then, and it may know better now.
+        // A record by this leader itself contains what it assumed then. It may know more now.
         let told = self.stopped_holds.0.get(worker).filter(|hold| !own(hold));
         match told.map(|hold| hold.over_at) {
             Some(at) if self.former_leaders.may_lack_some(self.now) => at,
@@ -119,12 +123,13 @@
         }
     }
 
-    /// Tells whether a leader before has kept more of a worker's hold than this one knows by itself.
+    /// Returns whether, according to the ledger, a worker's former leases expire sooner than this leader
+    /// calculates.
     pub(super) fn is_told_of(&self, worker: &WorkerId) -> bool {
         self.former_holds_over_at(worker) < self.former_leaders.holds_over_at()
     }
 
-    /// Keeps in the ledger of which silent workers the hold is not prolonged any more.
+    /// Records in the ledger which unresponsive workers have leases that are no longer renewed.
     pub(super) fn stop_silent_holds(&mut self) {
         let seen = self.now.saturating_sub(self.lag);
         let Some(lead) = self.lead.as_deref() else {
@@ -141,7 +146,7 @@
             .iter()
             .filter_map(|id| self.hold_to_stop(lead, id))
             .collect();
-        // What cannot be kept now cannot be resumed either, once the worker is heard.
+        // If this cannot be committed now, neither could resuming the lease once the worker answers.
         let answers = self.age(lead.confirmed_at) < TABLE_ANSWERS && !self.store_is_away();
         if due.is_empty() || !answers || is_common(lead, workers.len()) {
             return;
@@ -150,14 +155,14 @@
             if let Some(seat) = self.lead_seat(&worker) {
                 seat.hold_stop = HoldStop::Stopped;
             }
-            let detail = format!("over in {over_ms} ms at most");
+            let detail = format!("expires in at most {over_ms} ms");
             self.log("workers", "hold_stopped", worker.to_string(), detail);
             let event = LedgerEvent::HoldStopped { worker, over_ms };
             self.propose(event, Effect::None);
         }
     }
 
-    /// Time after which the hold of a silent worker is over, if it is not kept yet.
+    /// Returns the time after which an unresponsive worker's lease has expired, if it must be recorded.
     fn hold_to_stop(&self, lead: &LeadState, id: &WorkerId) -> Option<(WorkerId, u64)> {
         let seat = lead.seats.get(id)?;
         let own = seat.hold_left(self.now).mul_f64(SLOW_CLOCK_FACTOR);
@@ -173,7 +178,8 @@
         due.then(|| (id.clone(), left.as_millis() as u64 + 1))
     }
 
-    /// A worker was heard: its hold may be prolonged again once that is kept.
+    /// Proposes that the lease of a worker that has answered is renewed again, if it was stopped. It may be
+    /// renewed once that is committed.
     pub(super) fn resume_hold(&mut self, id: &WorkerId) {
         let kept_first = self.keeps(SiteGuard::ResumeKept);
         let seat = self.lead_seat(id);
@@ -189,7 +195,7 @@
         self.propose(event, Effect::ProlongHold(id.clone()));
     }
 
-    /// It is kept that the hold of a worker is prolonged again.
+    /// Resumes renewing a worker's lease, now that this is committed.
     pub(super) fn prolong_again(&mut self, id: &WorkerId) {
         let now = self.now;
         let Some(seat) = self.lead_seat(id) else {
@@ -201,7 +207,7 @@
         self.look_if_due(id);
     }
 
-    /// Drops what is kept of workers that are forgotten.
+    /// Drops the records of workers that were forgotten.
     pub(super) fn forget_stopped_holds(&mut self) {
         let Some(lead) = self.lead.as_deref().filter(|lead| lead.loaded) else {
             return;
@@ -214,7 +220,7 @@
     }
 }
 
-/// Tells whether a worker with runs has not been heard for so long that its hold is not prolonged.
+/// Returns whether a worker with runs has been out of contact for so long that its lease is not renewed.
 fn is_silent(seat: &Seat, seen: CoreTime) -> bool {
     let since = seat.heard_at.unwrap_or(seat.known_at);
     let asked = seat.proved || seat.entry.address.is_empty() || seat.unanswered >= STOP_UNANSWERED;
@@ -224,7 +230,7 @@
     !seat.runs.is_empty() && asked && seen.saturating_sub(since) >= usual
 }
 
-/// Tells whether so many workers are silent that it is the leader's own doing.
+/// Returns whether so many workers are unresponsive that the cause is the leader itself.
 fn is_common(lead: &LeadState, silent: usize) -> bool {
     let busy = lead.seats.values().filter(|seat| !seat.runs.is_empty());
     silent >= COMMON_LEAST && silent * COMMON_SHARE > busy.count()
--- a/crates/bankvalve_queue/src/core/suspects.rs
+++ b/crates/bankvalve_queue/src/core/suspects.rs
@@ -1,20 +1,22 @@
-//! Tasks under which workers ended: what each end tells against them, and how they are tried.
+//! Evidence against tasks whose workers ended, and isolated trial runs of such suspects.
 //!
-//! [`CrashCount`](crate::CrashCount) decides in the ledger who is a suspect and who is given up. Here
-//! the leader tells what it has seen of an end, and starts suspects one at a time, each on a worker
-//! where nothing else runs, so that it takes nobody along and the next end there is evidence.
+//! [`CrashCount`](crate::CrashCount), a part of the ledger's state, decides which tasks are suspects and
+//! when a job fails because of them. This module collects what the leader has seen of a worker's end.
+//! It also decides when and how suspects start: one at a time for each step, on a worker where nothing
+//! else runs. An end there harms no other task and is strong evidence.
 //!
-//! What is not seen is no evidence: an order without an answer may never have arrived, and a worker that
-//! is silent may be cut off. A worker that is ended by its task has its port refuse; when it first did is
-//! known to some 50 ms during a trial. How likely chance is to end a worker in that time is reckoned from
-//! the rate at which workers are lost with no suspect on them, so that in a storm of losses the same
-//! end weighs less, and least if others were lost at that moment.
+//! Only what was seen is evidence. An order without an answer may never have arrived, and a worker that
+//! does not respond may be cut off. If a task crashes its worker, the worker's port refuses connections.
+//! During a trial run the leader knows to about 50 ms when it first did. The probability that a worker
+//! ends by chance within that time is estimated from the rate at which workers without a suspect are
+//! lost. So during a mass loss the same end weighs less, and it weighs least if other workers were lost
+//! at that moment.
 //!
-//! Suspects are tried on one worker in eight at once, and hold one in four with those that have just
-//! ended under one. A gang's suspects begin together, so that they may hold more; one that has waited too
-//! long for its turn or a free worker starts among others, and after a second end beside runs that are not
-//! new, which tells as much. A task that lasts waits only as long as
-//! [`is_pressed`](EntryCore::is_pressed) allows, which counts all of its waits.
+//! Trial runs take at most one worker in eight at once, or one in four with the workers that have just
+//! ended under one. A gang's suspects start together, so they may take more. A suspect that has waited
+//! too long for its start or for a free worker starts beside other runs. After a second end it starts
+//! only beside runs that are not new, where an end is as strong evidence. A long-running task waits only
+//! until [`is_pressed`](EntryCore::is_pressed) returns true, which counts all of its waits.
 
 use std::time::Duration;
 
@@ -29,46 +31,51 @@
 use crate::job::TaskSize;
 use crate::ledger::{CrashCount, CrashEvidence, CrashWeight, EndKind, LedgerEvent, TaskRecord};
 
-/// Time from an order within which the port of a worker that its task ends refuses, as a rule.
+/// Time from a start order within which the port of a worker that its task crashes usually refuses
+/// connections. An end within it is an early crash.
 const YOUNG_LIFE: Duration = Duration::from_secs(1);
-/// The same up to which the end may be proof.
+/// Longest time from a start order to the first refused connection for an end that may be proof, unless
+/// an earlier run ended at the same age.
 const PROOF_LIFE: Duration = Duration::from_secs(2);
-/// Longest span of ages that counts as the same age again, in milliseconds.
+/// Longest span, in milliseconds, in which the ages of two runs at their ends count as the same age.
 const AGAIN_SPAN_MS: u32 = 1_000;
-/// Time for which a port has refused after which the end is kept: others that were lost with the worker are
-/// seen by then.
+/// Time for which a port must have refused connections before the evidence is committed: by then, the
+/// leader has seen which other workers were lost at the same time.
 const SEEN_TIME: Duration = Duration::from_millis(400);
-/// A run that lived so long has nothing to do with its worker's end, and one that lasts for weeks
-/// sees some workers end.
+/// Age from which on a run is not related to its worker's end: a task that runs for weeks is present when
+/// some workers end.
 const LONG_LIFE: Duration = Duration::from_secs(30);
-/// Workers on which suspects are tried at once, as a divisor of all, at least one.
+/// Divisor of the number of workers that gives the number of concurrent trial runs, at least one.
 const TRIAL_SHARE: usize = 8;
-/// The same with those that have ended under a suspect and are not given up yet; at least two.
+/// Divisor for the same limit that includes workers which have ended under a suspect and are not declared
+/// lost yet; the result is at least two.
 const HELD_SHARE: usize = 4;
-/// Wait for a free worker and a turn after which a suspect is started among others all the same,
-/// where only its share in several ends speaks against it: callers are told after three seconds that
-/// nothing runs though there is room.
+/// Longest wait for a free worker and an allowed start before a suspect starts beside other runs, if it
+/// was present at several ends without an early crash. Callers are told after three seconds that nothing
+/// runs although there is capacity.
 const WEAK_PATIENCE: Duration = Duration::from_millis(2_000);
-/// The same for one whose worker ended right after its start.
+/// Longest such wait of a suspect with an early crash.
 const YOUNG_PATIENCE: Duration = Duration::from_secs(8);
-/// Time before and after the end of a worker within which others that are lost are lost with it: a rack,
-/// a failure domain, a cut. Ports that refuse are seen within it.
+/// Time before and after a worker's end within which other losses count as simultaneous, as when a rack or
+/// a failure domain fails or the network is cut. The leader notices refusing ports within it.
 const COMMON_TIME: Duration = Duration::from_millis(200);
-/// Time without such losses after which a suspect is tried that may be proven by it.
+/// Time without many losses that must precede a trial run whose end may be proof.
 const CALM_TIME: Duration = Duration::from_secs(1);
-/// Other workers lost in that time from which on no suspect is tried that may be proven by it, as a divisor
-/// of all, at least one.
+/// Divisor of the number of workers that gives the number of losses, at least one, within that time from
+/// which on no such trial run starts.
 const COMMON_SHARE: usize = 100;
-/// Others lost at once from which on what had just been started is no suspect, as a divisor of all and at
-/// least.
+/// Divisor of the number of workers that gives the number of simultaneous losses of other workers from
+/// which on a mass loss is assumed, and an end right after a start is only weak evidence.
 const STORM_SHARE: usize = 20;
+/// Smallest number of simultaneous losses of other workers that counts as a mass loss.
 const STORM_LEAST: usize = 3;
-/// Time over which the rate of losses is reckoned, and the least of it for a new leader.
+/// Time over which the loss rate is calculated.
 const RATE_TIME: Duration = Duration::from_secs(30);
+/// Shortest time over which a new leader calculates the loss rate.
 const LEAST_RATE_TIME: Duration = Duration::from_secs(10);
-/// Losses of a worker in a second that are reckoned with at least.
+/// Lower limit of the estimated loss rate of one worker, per second.
 const LEAST_RATE: f64 = 0.001;
-/// Odds of chance above which an end is no proof, in parts per million.
+/// Probability of an end by chance above which the end is no proof, in parts per million.
 const PROOF_LIMIT_PPM: u32 = 50_000;
 const MILLION: f64 = 1e6;
 
@@ -77,42 +84,44 @@
 pub(super) struct WorkerLoss {
     worker: Incarnation,
     address: String,
-    /// When, as far as is known.
+    /// Time in which it was lost.
     span: LossSpan,
 }
 
-/// What is known of a worker's end.
+/// What the leader knows about a worker's end.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct SeatLoss {
-    /// Whether it has surely ended. One that is silent may be cut off, and run on: without a new life it is
-    /// known only where its port refuses and its entry is gone.
+    /// Whether the process is known to have ended. A worker that does not respond may be cut off and still
+    /// run. Unless a new process answers, its end is known only if its port refuses connections and its
+    /// entry is gone.
     is_end: bool,
-    /// When it had surely ended by: its port refused, or another life answered.
+    /// Time by which it had ended: its port first refused a connection, or another process answered.
     over_at: Option<CoreTime>,
-    /// When it ended, as far as is known.
+    /// Assumed time of the end: the field above, or else the latest time at which it may have been lost.
     at: CoreTime,
-    /// Others that were lost with it, and whether they are so many that its end tells nothing.
+    /// Number of other workers that were lost at the same time.
     others: usize,
+    /// Whether so many others were lost that this end is only weak evidence.
     is_storm: bool,
-    /// Losses of a worker in a second by chance.
+    /// Rate at which one worker is lost by chance, per second.
     rate: f64,
 }
 
-/// How the suspects of a step that are to start stand.
+/// Crash history of the suspects of a step that are to start.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct SuspectStand {
-    /// Whether a worker of one ended right after its start.
+    /// Whether a worker ended right after the start of one of them.
     young: bool,
-    /// Whether one is never started beside others that are new.
+    /// Whether one of them must not start beside other new runs.
     grave: bool,
-    /// Whether one of its ends is proof.
+    /// Whether one of the ends is proof.
     proven: bool,
-    /// Whether one lasts and has been away for too long.
+    /// Whether a long-running task among them is past its restart deadline.
     hurried: bool,
 }
 
 impl SuspectStand {
-    /// Of tasks, each with whether it is in a hurry.
+    /// Combines the histories of tasks, each with whether it is past its restart deadline.
     pub(super) fn of<'a>(tasks: impl Iterator<Item = (&'a TaskRecord, bool)>) -> Self {
         let mut stand = Self::default();
         for (task, hurried) in tasks {
@@ -128,28 +137,28 @@
     }
 }
 
-/// How a suspect may be started now.
+/// How a suspect may start now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum TrialTurn {
-    /// Where nothing else runs.
+    /// On a worker where nothing else runs.
     Alone,
-    /// Where nothing else that is new runs, and nothing new joins it: no worker became free in time.
+    /// On a worker without other new runs, and no new run joins it: no worker became free in time.
     Apart,
-    /// Among others, since it has waited for long enough.
+    /// Beside any other runs, because it has waited long enough.
     Among,
     /// Not yet.
     Later,
 }
 
 impl EntryCore {
-    /// What is known of a worker's end, for what it tells against its runs.
+    /// Returns what is known about a worker's end, to weigh it as evidence against its runs.
     pub(super) fn loss_of(&self, id: &WorkerId, end: LifeEnd) -> Option<SeatLoss> {
         let lead = self.lead.as_deref()?;
         let seat = lead.seats.get(id)?;
         Some(lead.loss_of(id, seat, Some(end), self.now))
     }
 
-    /// How a run ended whose worker's life is over.
+    /// Returns how a run ended on a worker that was declared lost or has restarted.
     pub(super) fn end_with_worker(
         &self,
         seat: &Seat,
@@ -171,8 +180,9 @@
         evidence.map_or(EndKind::Lost, EndKind::Crashed)
     }
 
-    /// Keeps what is seen of a worker's end under runs that had just been started, once its port has refused
-    /// for a while: they are given up only when its hold is over, and the leader may be lost before.
+    /// Commits the evidence of a worker's end against runs that had just started, once its port has refused
+    /// connections for a while. The runs are declared lost only when the lease has expired, and this leader
+    /// may fail before that.
     pub(super) fn keep_crashes(&mut self, id: &WorkerId) {
         let now = self.now;
         let Some(lead) = self.lead.as_deref() else {
@@ -214,7 +224,7 @@
         }
     }
 
-    /// What a worker's end tells against a run, if it counts at all.
+    /// Returns the evidence of a worker's end against a run, or `None` if the end does not count against it.
     fn crash_of(
         &self,
         seat: &Seat,
@@ -232,7 +242,7 @@
         counts.then(|| self.evidence_of(seat, loss, task, live))
     }
 
-    /// What was seen of a worker's end under a run.
+    /// Collects what was seen of a worker's end into evidence against a run.
     fn evidence_of(
         &self,
         seat: &Seat,
@@ -270,7 +280,7 @@
             (true, 1)
         };
         let within = |over: u32, life: Duration| u128::from(over) <= life.as_millis();
-        // At a greater age only where nothing else ran at all, and as before.
+        // At a greater age, only if nothing else ran there and an earlier run ended at the same age.
         let again = again.is_some_and(|span| span <= AGAIN_SPAN_MS) && seat.runs.len() == 1;
         let proof = |over: u32| {
             sole && confirmed
@@ -293,8 +303,8 @@
         }
     }
 
-    /// Notes that a worker was lost, for what is said of others that are; not one whose end is held against
-    /// a task.
+    /// Marks a worker as lost. Records the loss for the loss rate and for mass losses, unless the end counts
+    /// against a task.
     pub(super) fn note_worker_loss(&mut self, id: &WorkerId, held: bool) {
         let now = self.now;
         let Some(lead) = self.lead.as_deref_mut() else {
@@ -304,7 +314,7 @@
             return;
         };
         seat.over = true;
-        // One that this leader has not heard was lost before its time.
+        // A worker that never answered this leader was lost before this leader started.
         if !seat.proved || seat.is_ended_by_task() || held || seat.left_as_planned() {
             return;
         }
@@ -324,7 +334,7 @@
         lead.worker_losses.push(loss);
     }
 
-    /// How a suspect of a step may be started now.
+    /// Returns how the suspects of a step may start now.
     pub(super) fn turn_of(&mut self, step: StepKey, stand: SuspectStand) -> TrialTurn {
         self.note_room_wait(step);
         let now = self.now;
@@ -342,7 +352,7 @@
         let impatient = stand.hurried || waited > patience;
         let among = stand.hurried || !stand.young || waited > patience * 2;
         let grave = stand.grave && (stand.proven || waited <= patience * 3);
-        // The next end may prove it: not while other workers are lost, or it would tell nothing.
+        // The next end may be proof. It would be no evidence while other workers are lost.
         let calm_from = now.saturating_sub(CALM_TIME);
         let storm = || calm_from < lead.began_at || lead.is_common(lead.lost_since(calm_from, now));
         match (impatient, grave) {
@@ -354,7 +364,8 @@
         }
     }
 
-    /// Lets others join the suspects of a worker that have run alone for long enough.
+    /// Ends the trials of suspects on a worker that have been isolated long enough, so that other runs may
+    /// join them.
     pub(super) fn end_due_trials(&mut self, id: &WorkerId) {
         let lead = self.lead.as_deref().filter(|lead| !lead.trials.is_empty());
         let Some(seat) = lead.and_then(|lead| lead.seats.get(id)) else {
@@ -379,14 +390,14 @@
         }
     }
 
-    /// Time for which a suspect is kept apart from others.
+    /// Returns for how long a suspect is isolated from other runs.
     fn trial_time(&self, task: &TaskKey) -> Duration {
         let job = self.book.job(task.step.job);
         let count = job.and_then(|job| job.task(*task)?.crash_count());
         count.map(CrashCount::trial_time).unwrap_or_default()
     }
 
-    /// Room that a task takes by its step.
+    /// Returns the resources that a task takes according to its step.
     pub(super) fn room_of(&self, task: TaskKey) -> TaskSize {
         let job = self.book.job(task.step.job);
         let spec = job.and_then(|job| job.spec.steps.get(usize::from(task.step.step)));
@@ -395,7 +406,7 @@
 }
 
 impl LeadState {
-    /// Forgets trials that are over.
+    /// Forgets trials that have ended.
     fn end_trials(&mut self) {
         let seats = &self.seats;
         self.trials.retain(|task, worker| {
@@ -404,7 +415,7 @@
         });
     }
 
-    /// Whether a suspect of a step may be tried now.
+    /// Returns whether the limits allow a trial run of one of a step's suspects now.
     fn has_turn_for(&self, step: StepKey) -> bool {
         let of_step = |task: &TaskKey| task.step == step;
         let is_well = |worker: &Incarnation| {
@@ -421,7 +432,7 @@
             && !self.trials.keys().any(of_step)
     }
 
-    /// What is known of a worker's end.
+    /// Returns what is known about a worker's end.
     fn loss_of(&self, id: &WorkerId, seat: &Seat, end: Option<LifeEnd>, now: CoreTime) -> SeatLoss {
         let other_life = matches!(end, Some(LifeEnd::OtherLife | LifeEnd::Restarted));
         let over_at = seat.refused_at.or(other_life.then_some(now));
@@ -438,8 +449,8 @@
         }
     }
 
-    /// Workers that were lost with no suspect to themselves, with when: those that are over, and those that
-    /// are silent now.
+    /// Returns workers that were lost without counting against a task, and when: those declared lost, and
+    /// those that do not respond now.
     fn losses(&self, now: CoreTime) -> impl Iterator<Item = (&WorkerId, LossSpan)> {
         let over = self
             .worker_losses
@@ -456,7 +467,7 @@
         over.chain(silent.map(|(id, seat)| (id, seat.lost_within())))
     }
 
-    /// Other workers that were lost about when one was.
+    /// Returns the number of other workers that were lost at about the same time as one.
     fn lost_beside(&self, id: &WorkerId, at: CoreTime, now: CoreTime) -> usize {
         let (from, until) = (at.saturating_sub(COMMON_TIME), at + COMMON_TIME);
         let near = |span: &LossSpan| span.first <= until && span.last >= from;
@@ -465,24 +476,24 @@
         others.count()
     }
 
-    /// Workers lost since a time.
+    /// Returns the number of workers lost since a time.
     fn lost_since(&self, since: CoreTime, now: CoreTime) -> usize {
         self.losses(now)
             .filter(|(_, span)| span.last >= since)
             .count()
     }
 
-    /// Tells whether so many losses within a short time are too many to try a suspect.
+    /// Returns whether so many losses within a short time are too many for a trial run.
     fn is_common(&self, others: usize) -> bool {
         others >= (self.seats.len() / COMMON_SHARE).max(1)
     }
 
-    /// Tells whether so many were lost with a worker that nothing is asked of what ran there.
+    /// Returns whether so many others were lost with a worker that its end is only weak evidence.
     fn is_storm(&self, others: usize) -> bool {
         others >= (self.seats.len() / STORM_SHARE).max(STORM_LEAST)
     }
 
-    /// Losses in a second of one worker while others are lost at once.
+    /// Returns the loss rate of one worker, per second, while so many others are lost at once.
     fn rate_beside(&self, others: usize) -> f64 {
         if others == 0 {
             return 0.0;
@@ -491,8 +502,8 @@
         (others + 1) as f64 / ((COMMON_TIME * 2).as_secs_f64() * workers)
     }
 
-    /// Losses in a second of one worker, as far as was seen lately: of all, or of those at its address
-    /// if these are more.
+    /// Returns the recent loss rate of one worker, per second: that of all workers, or that at its address if
+    /// it is higher.
     fn loss_rate(&self, address: &str, now: CoreTime) -> f64 {
         let led = now.saturating_sub(self.began_at);
         let time = led.clamp(LEAST_RATE_TIME, RATE_TIME);
--- a/crates/bankvalve_queue/src/core/task_waits.rs
+++ b/crates/bankvalve_queue/src/core/task_waits.rs
@@ -1,19 +1,21 @@
-//! Why a task does not run though it did: the reasons, and how many tasks wait for each.
+//! Reasons for which a task that has run before does not run now, and how many tasks wait for each.
 
 use std::time::Duration;
 
-/// Why a task waits whose last run is believed on a worker that is not heard.
+/// Reason why the last run of a task is assumed to be running on a worker that is out of contact.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum WaitReason {
-    /// This leader asked the worker to hold what it runs until a time that may not have come there.
+    /// A lease that this leader requested may not have expired on the worker yet.
     OwnHold,
-    /// The leader before may have asked so; when it stopped is known.
+    /// A lease that a former leader requested may not have expired; when that leader stopped renewing leases
+    /// is known.
     FormerHoldKnown,
-    /// The same of a leader of whose end nothing was heard: the latest one that could be is assumed.
+    /// A lease that a former leader requested may not have expired; when that leader stopped is not known, so
+    /// the latest possible time is assumed.
     FormerHoldAssumed,
-    /// The hold is over, and the worker's entry still stands in the table.
+    /// The lease has expired, but the worker's entry still exists in the table.
     EntryListed,
-    /// This leader is not sure that it leads, and gives nothing up.
+    /// The leadership of this leader is not confirmed, so it declares no run lost.
     Unconfirmed,
 }
 
@@ -27,7 +29,7 @@
         WaitReason::Unconfirmed,
     ];
 
-    /// Word for logs.
+    /// Returns the name used in logs.
     pub fn as_str(self) -> &'static str {
         match self {
             WaitReason::OwnHold => "own_hold",
@@ -38,7 +40,7 @@
         }
     }
 
-    /// Name of the count of such tasks in the metrics.
+    /// Returns the metric name of the number of such tasks.
     pub fn quantity(self) -> &'static str {
         match self {
             WaitReason::OwnHold => "unheard_own_hold",
@@ -50,24 +52,24 @@
     }
 }
 
-/// Why a task whose run has ended has not started again.
+/// Reason why a task whose run has ended has not started again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum StartWait {
-    /// The table turns writes away or does not answer, so that no start could be kept.
+    /// The table refuses writes or does not answer, so that no start can be committed.
     TableAway,
-    /// This leader is not sure that it leads, or has not read the workers' entries yet.
+    /// The leadership of this leader is not confirmed, or it has not read the workers' entries yet.
     Unconfirmed,
-    /// Others of its gang, or steps before it, are not over yet.
+    /// Other members of its gang, or earlier steps, have not ended yet.
     Others,
-    /// Workers ended under it, and it waits for its turn to run alone, or for a worker to itself.
+    /// The task is a suspect, and waits until it may start isolated or until a worker is free.
     Suspect,
-    /// No permit for any worker is at hand.
+    /// There is no valid permit for any worker.
     Permits,
-    /// Room is being made for it.
+    /// Capacity is being reclaimed for it.
     RoomMade,
-    /// No worker has the room.
+    /// No worker has enough free capacity.
     NoRoom,
-    /// None of these: it waits behind others, or for workers that may run it.
+    /// None of the other reasons: it waits behind other steps, or for workers that may run it.
     Placing,
 }
 
@@ -84,7 +86,7 @@
         StartWait::Placing,
     ];
 
-    /// Word for logs.
+    /// Returns the name used in logs.
     pub fn as_str(self) -> &'static str {
         match self {
             StartWait::TableAway => "table_away",
@@ -98,7 +100,7 @@
         }
     }
 
-    /// Name of the count of such tasks in the metrics.
+    /// Returns the metric name of the number of such tasks.
     pub fn quantity(self) -> &'static str {
         match self {
             StartWait::TableAway => "restart_table_away",
@@ -113,29 +115,30 @@
     }
 }
 
-/// Tasks that do not run though they did, by reason, as the leader last looked.
+/// Numbers of tasks that have run before and do not run now, by reason, as of the leader's last scan.
 #[derive(Clone, Debug, Default)]
 pub struct TaskWaits {
     pub(super) unheard: [u64; WaitReason::ALL.len()],
     pub(super) starts: [u64; StartWait::ALL.len()],
-    /// Time since the worker was last heard of the task that waits longest for one that is not heard.
+    /// Longest time since the last contact with a worker for which a task waits.
     pub oldest_unheard: Option<Duration>,
-    /// Time since the run ended of the task that waits longest for its start.
+    /// Longest time since the end of a run whose task waits to start again.
     pub oldest_start: Option<Duration>,
 }
 
 impl TaskWaits {
-    /// Tasks that wait for a worker that is not heard, for a reason.
+    /// Returns the number of tasks that wait for a worker that is out of contact, for a reason.
     pub fn unheard(&self, reason: WaitReason) -> u64 {
         self.unheard[reason as usize]
     }
 
-    /// Tasks whose run ended two seconds ago or more and that wait to start, for a reason.
+    /// Returns the number of tasks whose run ended at least two seconds ago and that wait to start, for a
+    /// reason.
     pub fn starts(&self, reason: StartWait) -> u64 {
         self.starts[reason as usize]
     }
 
-    /// All counts, by the name that they have in the metrics.
+    /// Returns all counts with their metric names.
     ///
     /// # Examples
     ///
--- a/crates/bankvalve_queue/src/core/unheard.rs
+++ b/crates/bankvalve_queue/src/core/unheard.rs
@@ -1,11 +1,12 @@
-//! Why a task does not run now: its last run is still believed on a worker that is not heard. Why one
-//! whose run has ended has not started again is told by `restarts`, and both are counted in
-//! [`TaskWaits`].
+//! Tracking of tasks that wait because their worker is out of contact.
 //!
-//! Nothing is decided here. [`EntryCore::watch_waits`] looks some ten times a second at what `holds`
-//! and `placing` decide by, logs when a task begins and ceases to wait and for which reason, and
-//! counts such tasks for the metrics. How long a worker that is not heard may still run what it had
-//! is told by `belief_of`, which must say the same as `holds` does.
+//! The last run of such a task is assumed to be still running there. `restart_waits` tracks tasks whose
+//! run has ended and that have not started again. [`TaskWaits`] counts both.
+//!
+//! This module decides nothing. About ten times a second, [`EntryCore::watch_waits`] scans the state on which
+//! `lease_renewal` and `placement` base their decisions. It logs when a task starts or stops waiting and for
+//! which reason, and counts such tasks for the metrics. `belief_of` calculates for how long a worker that is
+//! out of contact may still run its tasks; its result must agree with `lease_renewal`.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -19,21 +20,21 @@
 use crate::ids::{CoreTime, RunId, StepKey, TaskKey, WorkerId};
 use crate::ledger::{JobOutcome, JobRecord, TaskPhase};
 
-/// Time between two looks at what tasks wait for: a tenth of the shortest wait that is told.
+/// Interval between two scans of waiting tasks: a tenth of the shortest wait that is logged.
 const LOOK_PACE: Duration = Duration::from_millis(100);
-/// Added to it for each task that waits, so that thousands of them take a hundredth of a core at
-/// most: some forty times what one costs.
+/// Added to the interval for each waiting task: about forty times the cost of scanning one, so that
+/// thousands of them take at most a hundredth of a core.
 const LOOK_EACH: Duration = Duration::from_micros(20);
-/// Time within which a worker answers a new leader as a rule: a first look is waited for some 0.6 s,
-/// asked again 0.25 s later.
+/// Time within which a worker usually answers a new leader. The first poll times out after about 0.6 s,
+/// and the next one follows 0.25 s later.
 const FIRST_ANSWER: Duration = Duration::from_millis(1_500);
 
-/// A run that is believed on a worker that is not heard.
+/// A run that is assumed to be running on a worker that is out of contact.
 #[derive(Clone, Debug)]
 struct UnheardRun {
     worker: WorkerId,
     run: RunId,
-    /// When the worker was last heard, or this leader began to look at it.
+    /// When the worker last answered, or, if it never did, when this leader started to poll it.
     since: CoreTime,
     reason: WaitReason,
 }
@@ -42,16 +43,17 @@
 #[derive(Clone, Debug)]
 pub(super) struct EndedRun {
     pub(super) run: RunId,
-    /// When it ended, or when this leader began if that was before.
+    /// When it ended, or when this leader first scanned if it ended under a former leader.
     pub(super) since: CoreTime,
-    /// Why the task had not started when it was last looked at, once it has waited for long.
+    /// Why the task had not started at the last scan; `None` until it has waited long enough to be reported.
     pub(super) reason: Option<StartWait>,
     /// How often each reason was found, in the order of [`StartWait::ALL`].
     pub(super) found: [u32; StartWait::ALL.len()],
 }
 
 impl EndedRun {
-    /// The reason that was found most often, once the task has waited for long.
+    /// Returns the reason that was found most often, or `None` if the task has not waited long enough to be
+    /// reported.
     fn most_found(&self) -> Option<StartWait> {
         self.reason?;
         let found = |reason: &StartWait| self.found[*reason as usize];
@@ -59,25 +61,26 @@
     }
 }
 
-/// What the leader tells of tasks that wait.
+/// Waiting tasks that a leader tracks.
 #[derive(Debug, Default)]
 pub(super) struct WaitSight {
-    /// When this leader, which has its book, first looked.
+    /// Time of the first scan by this leader, which has read the entire ledger by then.
     first_look: Option<CoreTime>,
     next_look: CoreTime,
     unheard: BTreeMap<TaskKey, UnheardRun>,
     pub(super) ended: BTreeMap<TaskKey, EndedRun>,
 }
 
-/// By what a run on a worker that is not heard is still believed.
+/// Why a run on a worker that is out of contact is assumed to be running.
 struct Belief {
     reason: WaitReason,
-    /// When it ends by itself at the latest; none if that is not known.
+    /// Time from which on the run is no longer assumed to be running, even without contact; `None` if that is
+    /// not known.
     until: Option<CoreTime>,
 }
 
 impl WaitSight {
-    /// A run ended other than well.
+    /// Records that a run ended without success.
     pub(super) fn note_end(&mut self, task: TaskKey, run: RunId, now: CoreTime) {
         let ended = EndedRun {
             run,
@@ -88,8 +91,8 @@
         self.ended.insert(task, ended);
     }
 
-    /// For the line on a run's end: for how long its worker was not heard, and what was waited for
-    /// last; empty if it was heard.
+    /// Stops tracking a run, and returns the text for the log line on its end: for how long its worker was
+    /// out of contact, and the last reason for the wait. It is empty if the worker was in contact.
     pub(super) fn take_unheard(&mut self, task: &TaskKey, run: RunId, now: CoreTime) -> String {
         let is_meant = |unheard: &UnheardRun| unheard.run == run;
         if !self.unheard.get(task).is_some_and(is_meant) {
@@ -105,7 +108,7 @@
         })
     }
 
-    /// For the line on a start: for how long the task has waited for it since its last run ended.
+    /// Returns the text for the log line on a start: for how long the task waited since its last run ended.
     pub(super) fn start_text(&self, task: &TaskKey, now: CoreTime) -> String {
         let Some(ended) = self.ended.get(task) else {
             return String::new();
@@ -121,7 +124,7 @@
         }
     }
 
-    /// The counts, and ages as of now.
+    /// Returns the counts, and the longest waits up to `now`.
     fn waits(&self, now: CoreTime) -> TaskWaits {
         let mut waits = TaskWaits::default();
         for unheard in self.unheard.values() {
@@ -141,14 +144,15 @@
 }
 
 impl Seat {
-    /// When every hold that this leader prolonged is surely over; none if its clock is not known.
+    /// Returns when every lease that this leader renewed has expired, or `None` if the worker's clock is not
+    /// known.
     fn hold_over_at(&self) -> Option<CoreTime> {
         let (at, reading) = self.clock?;
         let left = Duration::from_millis(self.granted_until.saturating_sub(reading));
         Some(at + CLOCK_SLACK + left * 100 / (100 - SLOW_CLOCK_PERCENT))
     }
 
-    /// For the log: where a run is believed, and what is known of the worker.
+    /// Returns the log text on where a run is assumed to be running, and what is known about the worker.
     fn unheard_text(&self, now: CoreTime, since: CoreTime) -> String {
         let address = match self.entry.address.as_str() {
             "" => "address not known",
@@ -178,13 +182,13 @@
 }
 
 impl EntryCore {
-    /// Tasks that do not run though they did, for the metrics.
+    /// Returns the counts of tasks that have run before and do not run now, for the metrics.
     pub(super) fn task_waits(&self) -> TaskWaits {
         let lead = self.lead.as_deref();
         lead.map_or_else(TaskWaits::default, |lead| lead.wait_sight.waits(self.now))
     }
 
-    /// Looks at what tasks wait for, if that is due, and logs what has changed.
+    /// Scans what tasks wait for, if a scan is due, and logs changes.
     pub(super) fn watch_waits(&mut self) {
         let now = self.now;
         let Some(lead) = self.lead.as_deref_mut() else {
@@ -204,7 +208,7 @@
         self.watch_ended();
     }
 
-    /// Finds tasks whose runs ended under an earlier leader.
+    /// Starts tracking tasks whose runs ended under a former leader.
     fn adopt_ended(&mut self) {
         let now = self.now;
         let Some(lead) = self.lead.as_deref_mut() else {
@@ -267,7 +271,8 @@
         }
     }
 
-    /// Tasks that wait for workers that are not heard, and when that ends by itself at the latest.
+    /// Returns tasks that wait for workers that are out of contact, and when the wait ends even without
+    /// contact.
     fn find_unheard(&self, lead: &LeadState) -> BTreeMap<TaskKey, (UnheardRun, Option<CoreTime>)> {
         let now = self.now;
         let mut found = BTreeMap::new();
@@ -283,7 +288,7 @@
                     continue;
                 }
                 let belief = self.belief_of(id, seat, live, patience);
-                // What was waited for last is told at the run's end, which comes at once then.
+                // The run is about to be declared lost: its log line names the reason waited for until now.
                 let before = lead.wait_sight.unheard.get(task);
                 let over = belief.until.is_some_and(|until| until <= now);
                 let ends = over && belief.reason != WaitReason::Unconfirmed;
@@ -303,7 +308,7 @@
         found
     }
 
-    /// Since when a worker with runs is not heard; none if it is.
+    /// Returns since when a worker with runs is out of contact, or `None` if it is in contact.
     fn unheard_since(&self, lead: &LeadState, seat: &Seat) -> Option<CoreTime> {
         if seat.runs.is_empty() {
             return None;
@@ -313,12 +318,12 @@
             Some(at) => (at, SILENT_LONG.max(seat.look_wait + ANSWER_SLACK)),
             None => (began.max(seat.known_at), FIRST_ANSWER),
         };
-        // A worker's word may wait behind the event that is being taken.
+        // A worker's answer may be queued behind the event that is being handled.
         let seen = self.now.saturating_sub(self.lag);
         (seen.saturating_sub(since) >= usual).then_some(since)
     }
 
-    /// Tells whether a task of an open job waits for the end of a run.
+    /// Returns whether a task of an open job waits for the end of a run.
     fn awaits_end(&self, task: TaskKey, run: RunId) -> bool {
         let job = self.book.job(task.step.job);
         job.is_some_and(|job| {
@@ -329,7 +334,7 @@
         })
     }
 
-    /// By what a run on a worker that is not heard is believed, and until when at the latest.
+    /// Returns why a run on a worker that is out of contact is assumed to be running, and until when.
     fn belief_of(&self, id: &WorkerId, seat: &Seat, live: &LiveRun, patience: Duration) -> Belief {
         let now = self.now;
         let (hold, over_at) = if seat.proved {
@@ -362,7 +367,7 @@
         Belief { reason, until }
     }
 
-    /// For the log: where a run is believed, by what, and what would end that.
+    /// Returns the log text on where and why a run is assumed to be running, and what would end the wait.
     fn unheard_text(&self, unheard: &UnheardRun, until: Option<CoreTime>) -> String {
         let now = self.now;
         let (run, worker) = (unheard.run, &unheard.worker);
@@ -427,8 +432,8 @@
         }
     }
 
-    /// Logs that a task does not wait any more for a worker that was not heard; the line on its run's
-    /// end tells so where there is one.
+    /// Logs that a task no longer waits for a worker that was out of contact. If the run has ended, the log
+    /// line on its end says so instead.
     fn tell_heard(&mut self, task: TaskKey, unheard: &UnheardRun) {
         let now = self.now;
         let (run, worker) = (unheard.run, &unheard.worker);
@@ -451,7 +456,7 @@
     }
 }
 
-/// A duration in whole milliseconds, for the log.
+/// Returns a duration in full milliseconds, for the log.
 pub(super) fn rounded(time: Duration) -> Duration {
     Duration::from_millis(time.as_millis() as u64)
 }
