--- a/crates/bankvalve/src/entry/core_loop.rs
+++ b/crates/bankvalve/src/entry/core_loop.rs
@@ -213,7 +213,7 @@
                 next_tick = now + self.core.wake_after();
             }
             self.flush();
-            if self.core.is_crowded() {
+            if self.core.prefers_batches() {
                 std::thread::sleep(GATHER);
             }
             if now >= next_publication {
@@ -273,7 +273,7 @@
                 }
                 CoreAction::DecodeTable(raw) => {
                     if let Some(table) = (self.port.read_table)(&raw) {
-                        let actions = self.core.give_table(table, raw);
+                        let actions = self.core.install_table(table, raw);
                         self.act_all(actions);
                     } else {
                         self.log.give(unix_millis(), unreadable_table(raw.len()));
--- a/crates/bankvalve/src/entry/entry_metrics.rs
+++ b/crates/bankvalve/src/entry/entry_metrics.rs
@@ -128,7 +128,7 @@
             let ages = [
                 ("configuration", view.table_age),
                 ("leader", view.leader_age),
-                ("unheard_task", view.task_waits.oldest_unheard),
+                ("unheard_task", view.task_waits.oldest_lost_contact),
                 ("ended_task", view.task_waits.oldest_start),
             ];
             for (source, age) in ages {
--- a/crates/bankvalve/src/entry/link_loop.rs
+++ b/crates/bankvalve/src/entry/link_loop.rs
@@ -10,9 +10,9 @@
     encode_message, ClientFailure, ClientLimits, HttpClient, HttpReply, WIRE_TYPE,
 };
 use bankvalve_queue::{
-    AdviceAnswer, CarriedOrder, ConnectionId, CoreAction, CoreEvent, PeerAddress, PeerBatch,
-    PeerMessage, PeerPatience, PlatformPort, StoreRequest, Ticket, WireCall, WireReply,
-    WorkerAnswer, WorkerCall, KEPT_CONNECTIONS, PEER_FLIGHTS,
+    AdviceAnswer, BatchTimeout, ConnectionId, CoreAction, CoreEvent, PeerAddress, PeerBatch,
+    PeerMessage, PlatformPort, ProxiedOrder, StoreRequest, Ticket, WireCall, WireReply,
+    WorkerAnswer, WorkerCall, PEER_BATCHES_IN_FLIGHT, POOLED_CONNECTIONS,
 };
 use hyper::Method;
 use tokio::sync::mpsc;
@@ -65,7 +65,7 @@
 /// How long a message may wait for others to travel with.
 fn wait_of(message: &PeerMessage) -> Duration {
     match message {
-        PeerMessage::Carry { call, .. } if matches!(call.order, CarriedOrder::Hold { .. }) => {
+        PeerMessage::Carry { call, .. } if matches!(call.order, ProxiedOrder::Hold { .. }) => {
             LAZY_PACE
         }
         PeerMessage::Carried { answer, .. } if tells_of_no_end(answer) => LAZY_PACE,
@@ -115,7 +115,7 @@
     core: EntryHandle,
     client: HttpClient,
     lanes: RefCell<BTreeMap<PeerAddress, PeerLane>>,
-    patience: Cell<PeerPatience>,
+    patience: Cell<BatchTimeout>,
 }
 
 /// Carries actions until the core's end of the ring is closed.
@@ -126,7 +126,7 @@
     mut actions: mpsc::Receiver<Vec<CoreAction>>,
 ) {
     let client = HttpClient::with_limits(ClientLimits {
-        idle: KEPT_CONNECTIONS,
+        idle: POOLED_CONNECTIONS,
         idle_time: IDLE_TIME,
         connect_time: CONNECT_TIME,
         silence: Some(SILENCE),
@@ -138,7 +138,7 @@
         core,
         client,
         lanes: RefCell::new(BTreeMap::new()),
-        patience: Cell::new(PeerPatience::default()),
+        patience: Cell::new(BatchTimeout::default()),
     });
     let local = tokio::task::LocalSet::new();
     local
@@ -226,7 +226,7 @@
     fn send_lanes(self: Rc<Self>) {
         let mut lanes = self.lanes.borrow_mut();
         for (peer, lane) in lanes.iter_mut() {
-            while !lane.queue.is_empty() && lane.flights < PEER_FLIGHTS {
+            while !lane.queue.is_empty() && lane.flights < PEER_BATCHES_IN_FLIGHT {
                 if let Some(pause) = lane.pause() {
                     let due = Instant::now() + pause;
                     if lane.timer.is_none_or(|timer| due < timer) {
--- a/crates/bankvalve_check/src/site/site_config.rs
+++ b/crates/bankvalve_check/src/site/site_config.rs
@@ -209,7 +209,7 @@
         let Some(core) = self.nodes[node].core.as_mut() else {
             return;
         };
-        let actions: Vec<CoreAction> = core.give_table(table, raw);
+        let actions: Vec<CoreAction> = core.install_table(table, raw);
         for action in actions {
             self.act(node, action);
         }
--- a/crates/bankvalve_check/src/site/site_jobs.rs
+++ b/crates/bankvalve_check/src/site/site_jobs.rs
@@ -30,7 +30,7 @@
     } else {
         (time, EndKind::Done)
     };
-    (step.room(), Some(work))
+    (step.resources(), Some(work))
 }
 
 /// A job of steps for tests: a count of tasks for each, a gang if asked.
--- a/crates/bankvalve_check/src/site/site_lasting.rs
+++ b/crates/bankvalve_check/src/site/site_lasting.rs
@@ -329,7 +329,7 @@
 
 /// Copies of a task that fit beside what a worker runs.
 fn copies_on(worker: &SiteWorker, task: TaskKey, step: &StepSpec) -> u64 {
-    let size = step.room();
+    let size = step.resources();
     let (room, used) = (worker.entry.room, worker.used());
     let parts = |part: fn(&TaskSize) -> u64| {
         let free = part(&room).saturating_sub(part(&used));
--- a/crates/bankvalve_check/src/site/site_links.rs
+++ b/crates/bankvalve_check/src/site/site_links.rs
@@ -3,7 +3,8 @@
 use std::time::Duration;
 
 use bankvalve_queue::{
-    AdviceAsk, CoreAction, CoreEvent, PeerAddress, StoreOutcome, StoreRequest, Ticket, WorkerAnswer,
+    AdviceRequest, CoreAction, CoreEvent, PeerAddress, StoreOutcome, StoreRequest, Ticket,
+    WorkerAnswer,
 };
 use rand::Rng;
 
@@ -142,7 +143,7 @@
     }
 
     /// Milliseconds until the policy service has answered an instance's question.
-    fn advice_time(&mut self, node: usize, ask: &AdviceAsk) -> u64 {
+    fn advice_time(&mut self, node: usize, ask: &AdviceRequest) -> u64 {
         let queue = self.specs.get(&ask.step.job).map(|spec| &*spec.queue);
         let Some(rule) = self.advice_of(queue.unwrap_or(QUEUE)) else {
             return ADVICE_MS;
--- a/crates/bankvalve_check/src/site/site_plan.rs
+++ b/crates/bankvalve_check/src/site/site_plan.rs
@@ -1,6 +1,6 @@
 //! What a world consists of: its plan, and its entry instances.
 
-use bankvalve_queue::{CoreEvent, EntryCore, PeerAddress, PeerPatience, PolicySwitch, SiteGuard};
+use bankvalve_queue::{BatchTimeout, CoreEvent, EntryCore, PeerAddress, PolicySwitch, SiteGuard};
 
 use super::site_bytes::LinkUse;
 use super::site_processor::NodeProcessor;
@@ -54,7 +54,7 @@
     /// of rows that it reads, each answer by itself, unless links carry all.
     pub link_bytes_per_ms: Option<u64>,
     /// How long its batches to peers may take.
-    pub(super) patience: PeerPatience,
+    pub(super) patience: BatchTimeout,
     pub(super) link_use: LinkUse,
     /// What its steps take, and what waits for them.
     pub processor: NodeProcessor,
@@ -86,7 +86,7 @@
             cut_from_peers_until: 0,
             cut_from_workers_until: 0,
             link_bytes_per_ms: None,
-            patience: PeerPatience::default(),
+            patience: BatchTimeout::default(),
             link_use: LinkUse::default(),
             processor: NodeProcessor::default(),
             watch_lost_until: 0,
--- a/crates/bankvalve_check/src/site/site_silence.rs
+++ b/crates/bankvalve_check/src/site/site_silence.rs
@@ -1,14 +1,15 @@
 //! Connections between instances that go silent for good, while new ones work.
 
 use bankvalve_queue::{
-    peer_time, CoreEvent, PeerAddress, PeerMessage, KEPT_CONNECTIONS, PEER_FLIGHTS,
+    peer_batch_timeout, CoreEvent, PeerAddress, PeerMessage, PEER_BATCHES_IN_FLIGHT,
+    POOLED_CONNECTIONS,
 };
 
 use super::site_world::{Later, SiteWorld};
 
 /// Time after which a call of a small batch without an answer is over, in milliseconds.
 pub(super) fn call_ms() -> u64 {
-    peer_time(0).as_millis() as u64
+    peer_batch_timeout(0).as_millis() as u64
 }
 
 /// Connections from one instance to another that are silent.
@@ -42,7 +43,9 @@
         let mut open = self.called_at.iter().filter(|at| now < **at + call_ms());
         let oldest = open.next().copied();
         match oldest {
-            Some(at) if 1 + open.count() >= PEER_FLIGHTS => LaneFate::Waits(at + call_ms() - now),
+            Some(at) if 1 + open.count() >= PEER_BATCHES_IN_FLIGHT => {
+                LaneFate::Waits(at + call_ms() - now)
+            }
             _ if self.unused > 0 => {
                 self.unused -= 1;
                 self.called_at.push(now);
@@ -64,7 +67,7 @@
             .map(|pair| {
                 let called_at = Vec::new();
                 let lane = SilentLane {
-                    unused: KEPT_CONNECTIONS,
+                    unused: POOLED_CONNECTIONS,
                     called_at,
                 };
                 (pair, lane)
--- a/crates/bankvalve_check/tests/site/sight.rs
+++ b/crates/bankvalve_check/tests/site/sight.rs
@@ -66,9 +66,9 @@
 }
 
 /// Tasks that wait for a worker that is not heard, by reason.
-fn unheard(world: &SiteWorld) -> Vec<(WaitReason, u64)> {
+fn lost_contact(world: &SiteWorld) -> Vec<(WaitReason, u64)> {
     let waits = world.task_waits();
-    let counted = WaitReason::ALL.map(|reason| (reason, waits.unheard(reason)));
+    let counted = WaitReason::ALL.map(|reason| (reason, waits.lost_contact(reason)));
     counted
         .into_iter()
         .filter(|(_, tasks)| *tasks > 0)
@@ -76,7 +76,7 @@
 }
 
 fn oldest_ms(world: &SiteWorld) -> u128 {
-    let oldest = world.task_waits().oldest_unheard;
+    let oldest = world.task_waits().oldest_lost_contact;
     oldest.expect("a task waits").as_millis()
 }
 
@@ -84,7 +84,7 @@
 fn a_worker_cut_off_under_one_leader_is_told_from_the_first_silence_to_the_next_start() {
     let mut world = world(51);
     let address = start_long(&mut world);
-    assert_eq!(unheard(&world), []);
+    assert_eq!(lost_contact(&world), []);
     world.worker_cut_until.insert(address.clone(), 60_000);
     world.run_until(5_500);
     let lines = task_lines(&world, &["runs unheard"]);
@@ -97,11 +97,11 @@
     assert!(detail.contains(&address), "{detail}");
     assert!(detail.contains("entry listed, silent for 1."), "{detail}");
     assert!(detail.contains(": own_hold, asked until "), "{detail}");
-    assert_eq!(unheard(&world), [(WaitReason::OwnHold, 1)]);
+    assert_eq!(lost_contact(&world), [(WaitReason::OwnHold, 1)]);
     assert!((2_300..2_700).contains(&oldest_ms(&world)));
     // Its hold is over, and its entry stands.
     world.run_until(11_000);
-    assert_eq!(unheard(&world), [(WaitReason::EntryListed, 1)]);
+    assert_eq!(lost_contact(&world), [(WaitReason::EntryListed, 1)]);
     world.run_until(20_000);
     let events = ["runs unheard", "runs heard", "runs end", "placer place"];
     let lines = task_lines(&world, &events);
@@ -123,8 +123,8 @@
         assert!(end.0 <= told + LATE_MS, "{line:?}, {end:?}");
     }
     assert!(lines[4].3.contains(" after run 1 ended"), "{lines:#?}");
-    assert_eq!(unheard(&world), []);
-    assert_eq!(world.task_waits().oldest_unheard, None);
+    assert_eq!(lost_contact(&world), []);
+    assert_eq!(world.task_waits().oldest_lost_contact, None);
     assert_kept(&world);
 }
 
@@ -136,18 +136,18 @@
     world.run_until(20_000);
     let events = ["runs unheard", "runs heard", "runs end", "placer place"];
     let lines = task_lines(&world, &events);
-    let [_, unheard, end, place] = lines.as_slice() else {
+    let [_, lost_contact, end, place] = lines.as_slice() else {
         panic!("expected a start, a wait, an end and a start, found {lines:#?}");
     };
-    assert!(unheard.3.contains(": own_hold, asked until "));
+    assert!(lost_contact.3.contains(": own_hold, asked until "));
     assert!(
         end.3.contains("its hold is over, its entry stands"),
         "{end:?}"
     );
     assert!(end.3.ends_with("at last by own_hold"), "{end:?}");
-    let told = told_end(unheard);
+    let told = told_end(lost_contact);
     let in_time = told.saturating_sub(LATE_MS)..=told + LATE_MS;
-    assert!(in_time.contains(&end.0), "{unheard:?}, {end:?}");
+    assert!(in_time.contains(&end.0), "{lost_contact:?}, {end:?}");
     assert!(place.0 <= end.0 + LATE_MS, "{end:?}, {place:?}");
     assert_kept(&world);
 }
@@ -167,7 +167,7 @@
         "{detail}"
     );
     assert!(detail.ends_with("at last by own_hold"), "{detail}");
-    assert_eq!(unheard(&world), []);
+    assert_eq!(lost_contact(&world), []);
     assert_kept(&world);
 }
 
@@ -219,7 +219,7 @@
     assert!(in_time.contains(&end.0), "{told:?}, {end:?}");
     let last = format!("at last by {reason}");
     assert!(end.3.ends_with(&last), "{end:?}");
-    assert_eq!(unheard(world), []);
+    assert_eq!(lost_contact(world), []);
     assert_kept(world);
 }
 
@@ -231,7 +231,7 @@
     let told = told_by_successor(&world, former);
     let why = ": former_hold_assumed, a leader before was not in touch with this instance";
     assert!(told.3.contains(why), "{told:?}");
-    assert_eq!(unheard(&world), [(WaitReason::FormerHoldAssumed, 1)]);
+    assert_eq!(lost_contact(&world), [(WaitReason::FormerHoldAssumed, 1)]);
     assert!(oldest_ms(&world) >= 2_500);
     world.run_until(40_000);
     check_told_end(&world, &told, "former_hold_assumed");
@@ -245,7 +245,7 @@
     let told = told_by_successor(&world, former);
     let why = ": former_hold_known, it is known when the leaders before had stopped";
     assert!(told.3.contains(why), "{told:?}");
-    assert_eq!(unheard(&world), [(WaitReason::FormerHoldKnown, 1)]);
+    assert_eq!(lost_contact(&world), [(WaitReason::FormerHoldKnown, 1)]);
     assert!(oldest_ms(&world) >= 2_500);
     world.run_until(40_000);
     check_told_end(&world, &told, "former_hold_known");
@@ -272,7 +272,7 @@
     let mut world = world(54);
     lose_worker_and_all(&mut world, 5_000);
     world.run_until(12_000);
-    assert_eq!(unheard(&world), [(WaitReason::FormerHoldKnown, 1)]);
+    assert_eq!(lost_contact(&world), [(WaitReason::FormerHoldKnown, 1)]);
     world.run_until(40_000);
     let lines = task_lines(&world, &["runs unheard"]);
     let known = lines.last().expect("lines");
@@ -310,10 +310,10 @@
     let address = start_lasting(&mut world);
     world.store_away_until = 30_000;
     world.run_until(14_000);
-    assert_eq!(unheard(&world), []);
+    assert_eq!(lost_contact(&world), []);
     world.worker_cut_until.insert(address, 90_000);
     world.run_until(28_000);
-    assert_eq!(unheard(&world), [(WaitReason::Unconfirmed, 1)]);
+    assert_eq!(lost_contact(&world), [(WaitReason::Unconfirmed, 1)]);
     world.run_until(60_000);
     let lines = task_lines(&world, &["runs unheard"]);
     let unsure = |line: &&TaskLine| {
@@ -328,6 +328,6 @@
     let ends = task_lines(&world, &["runs end"]);
     assert_eq!(ends.len(), 1, "{ends:#?}");
     assert!(ends[0].0 >= 30_000, "{ends:?}");
-    assert_eq!(unheard(&world), []);
+    assert_eq!(lost_contact(&world), []);
     assert_kept(&world);
 }
--- a/crates/bankvalve_queue/src/core/advice.rs
+++ b/crates/bankvalve_queue/src/core/advice.rs
@@ -18,7 +18,7 @@
 use crate::peer::{PeerAddress, PeerMessage};
 use crate::policy::PolicySwitch;
 use crate::queue_table::AdviceRule;
-use crate::worker::{AdviceAnswer, AdviceAsk};
+use crate::worker::{AdviceAnswer, AdviceRequest};
 
 /// Most workers that are asked about for a step at once, in parts; the service takes a hundred in one
 /// question.
@@ -133,7 +133,7 @@
 impl EntryCore {
     /// Asks about workers for a step, in parts; each answer leads to another placement. Returns when
     /// the last one is expected.
-    pub(super) fn ask_advice(
+    pub(super) fn request_advice(
         &mut self,
         step: StepKey,
         rule: AdviceRule,
@@ -163,7 +163,9 @@
             let until = busy.and_then(|busy| busy.get(address));
             until.is_some_and(|until| *until > now)
         };
-        let peers = self.live_peers().filter(|(_, peer)| !peer.news.stopping);
+        let peers = self
+            .live_peers()
+            .filter(|(_, peer)| !peer.heartbeat.stopping);
         peers.filter(|(address, _)| !is_busy(address)).count()
     }
 
@@ -190,7 +192,7 @@
             long: takes > LONG_QUESTION,
             until,
         });
-        let ask = AdviceAsk {
+        let ask = AdviceRequest {
             step,
             workers,
             time,
@@ -207,7 +209,7 @@
         if adviser == own {
             self.actions.push(CoreAction::Advice { ticket, ask });
         } else {
-            self.tell_through_hub(adviser, PeerMessage::Advise { ticket, ask });
+            self.send_via_hub(adviser, PeerMessage::Advise { ticket, ask });
         }
         expected
     }
@@ -217,7 +219,7 @@
         let own = self.settings.address;
         let mut advisers: Vec<PeerAddress> = self
             .live_peers()
-            .filter(|(_, peer)| !peer.news.stopping)
+            .filter(|(_, peer)| !peer.heartbeat.stopping)
             .map(|(address, _)| address)
             .collect();
         advisers.sort_unstable();
@@ -251,19 +253,19 @@
     }
 
     /// Carries a question for the leader.
-    pub(super) fn carry_advice(&mut self, from: PeerAddress, ticket: Ticket, ask: AdviceAsk) {
+    pub(super) fn proxy_advice(&mut self, from: PeerAddress, ticket: Ticket, ask: AdviceRequest) {
         let own_ticket = self.take_ticket();
-        self.advising.insert(own_ticket, (from, ticket));
+        self.proxied_advice.insert(own_ticket, (from, ticket));
         self.actions.push(CoreAction::Advice {
             ticket: own_ticket,
             ask,
         });
     }
 
-    pub(super) fn take_advice(&mut self, ticket: Ticket, answer: AdviceAnswer) {
-        match self.advising.remove(&ticket) {
+    pub(super) fn handle_advice(&mut self, ticket: Ticket, answer: AdviceAnswer) {
+        match self.proxied_advice.remove(&ticket) {
             Some((peer, ticket)) => {
-                self.tell_through_hub(peer, PeerMessage::Advised { ticket, answer });
+                self.send_via_hub(peer, PeerMessage::Advised { ticket, answer });
             }
             None => self.end_advice(ticket, answer),
         }
@@ -284,7 +286,7 @@
             return;
         };
         let flight = advice.flights.swap_remove(place);
-        lead.stale = true;
+        lead.placement_due = true;
         let kind = match &answer {
             AdviceAnswer::Good { permits, .. } => {
                 format!("{} good of {}", permits.len(), flight.asked.len())
@@ -353,7 +355,7 @@
         for advice in lead.advice.values_mut() {
             let before = advice.flights.len();
             advice.flights.retain(|flight| flight.adviser != peer);
-            lead.stale |= advice.flights.len() < before;
+            lead.placement_due |= advice.flights.len() < before;
         }
     }
 
@@ -373,7 +375,7 @@
             lost.extend(flights.map(|flight| flight.adviser));
             advice.flights.retain(|flight| now <= flight.until);
         }
-        lead.stale |= !lost.is_empty();
+        lead.placement_due |= !lost.is_empty();
         self.counters
             .count_many("retries", "advice_unanswered", lost.len() as u64);
         // An instance that is behind what is reckoned, with questions of a leader before, stays behind for as long as
--- a/crates/bankvalve_queue/src/core/carriers.rs
+++ b/crates/bankvalve_queue/src/core/call_proxies.rs
@@ -11,11 +11,11 @@
 
 use super::election::PeerView;
 use super::hubs::choice_weight;
-use super::lead::LeadState;
+use super::lead_state::LeadState;
 use super::EntryCore;
 use crate::core::CoreAction;
 use crate::ids::{CoreTime, FenceToken, Ticket, WorkerId};
-use crate::peer::{CarriedCall, CarriedOrder, PeerAddress, PeerMessage};
+use crate::peer::{PeerAddress, PeerMessage, ProxiedCall, ProxiedOrder};
 use crate::worker::{StartOrder, WorkerAnswer, WorkerCall};
 
 /// Workers for each core of the leader's processor from which on its calls are carried: exchanges
@@ -23,7 +23,7 @@
 const WORKERS_PER_CORE: u64 = 800;
 /// Time that a carried call may take beyond its own: the ways between two instances, and the pace
 /// of their batches.
-pub(super) const CARRY_SLACK: Duration = Duration::from_millis(150);
+pub(super) const PROXY_SLACK: Duration = Duration::from_millis(150);
 /// Time between two choices of carriers.
 const CHOOSE_EVERY: Duration = Duration::from_millis(100);
 /// A carrier was heard this lately: more than two heartbeats.
@@ -36,19 +36,19 @@
 
 /// What a leader knows of its carriers.
 #[derive(Debug, Default)]
-pub(super) struct CarrierList {
+pub(super) struct ProxyList {
     peers: Vec<PeerAddress>,
     chosen_at: Option<CoreTime>,
 }
 
-impl CarrierList {
+impl ProxyList {
     /// Tells whether calls are carried.
     pub(super) fn are_used(&self) -> bool {
         !self.peers.is_empty()
     }
 
     /// The carrier of a worker's calls; the same one while the carriers stay.
-    pub(super) fn carrier_of(&self, worker: &WorkerId) -> Option<PeerAddress> {
+    pub(super) fn proxy_of(&self, worker: &WorkerId) -> Option<PeerAddress> {
         let weight = |peer: &PeerAddress| choice_weight(worker, peer);
         self.peers.iter().copied().max_by_key(weight)
     }
@@ -56,7 +56,7 @@
 
 /// A call that this instance carries.
 #[derive(Debug)]
-pub(super) struct CarriedFor {
+pub(super) struct ProxyOrigin {
     leader: PeerAddress,
     ticket: Ticket,
     since: CoreTime,
@@ -64,31 +64,33 @@
 
 impl EntryCore {
     /// Chooses the carriers anew: standbys that are heard and have the book.
-    pub(super) fn run_carriers(&mut self) {
+    pub(super) fn run_proxies(&mut self) {
         let now = self.now;
         let Some(lead) = self.lead.as_deref() else {
             return;
         };
         let due = |at: CoreTime| now >= at + CHOOSE_EVERY;
-        if lead.carriers.chosen_at.is_none_or(due) {
+        if lead.proxies.chosen_at.is_none_or(due) {
             let peers = self.choose_carriers(lead);
             if let Some(lead) = self.lead.as_deref_mut() {
-                lead.carriers.peers = peers;
-                lead.carriers.chosen_at = Some(now);
+                lead.proxies.peers = peers;
+                lead.proxies.chosen_at = Some(now);
             }
         }
         self.end_late_calls();
     }
 
     fn choose_carriers(&self, lead: &LeadState) -> Vec<PeerAddress> {
-        let workers = lead.seats.len() as u64 * 1_000;
+        let workers = lead.worker_states.len() as u64 * 1_000;
         if workers < WORKERS_PER_CORE * self.settings.strength.max(1) || self.stopping {
             return Vec::new();
         }
         let able = |peer: &PeerView| {
-            let heard = peer.heard_at.is_some_and(|at| self.age(at) < CARRIER_HEARD);
-            let has_book = peer.news.applied + BATCHES_BEHIND >= self.applied;
-            heard && has_book && !peer.news.stopping
+            let heard = peer
+                .last_contact
+                .is_some_and(|at| self.age(at) < CARRIER_HEARD);
+            let has_book = peer.heartbeat.applied + BATCHES_BEHIND >= self.applied;
+            heard && has_book && !peer.heartbeat.stopping
         };
         let mut standbys = self.live_standbys();
         standbys.retain(|address| self.peers.get(address).is_some_and(able));
@@ -100,34 +102,34 @@
     fn end_late_calls(&mut self) {
         let seen = self.now.saturating_sub(self.lag);
         while let Some(lead) = self.lead.as_deref_mut() {
-            let first = lead.call_limits.first().copied();
+            let first = lead.call_deadlines.first().copied();
             let Some((_, ticket)) = first.filter(|(limit, _)| seen >= *limit) else {
                 return;
             };
-            lead.call_limits.pop_first();
+            lead.call_deadlines.pop_first();
             self.counters.count("retries", "call_unanswered");
-            self.take_worker_answer(ticket, WorkerAnswer::NoReply);
+            self.handle_worker_answer(ticket, WorkerAnswer::NoReply);
         }
     }
 
     /// Gives up the calls that a peer carries which is gone.
-    pub(super) fn lose_carrier(&mut self, peer: PeerAddress) {
+    pub(super) fn remove_proxy(&mut self, peer: PeerAddress) {
         let Some(lead) = self.lead.as_deref_mut() else {
             return;
         };
-        lead.carriers.peers.retain(|carrier| *carrier != peer);
+        lead.proxies.peers.retain(|proxy| *proxy != peer);
         let carried = lead
             .calls
             .iter()
-            .filter(|(_, open)| open.carrier == Some(peer));
+            .filter(|(_, open)| open.proxy == Some(peer));
         let tickets: Vec<Ticket> = carried.map(|(ticket, _)| *ticket).collect();
         for ticket in tickets {
-            self.take_worker_answer(ticket, WorkerAnswer::NoReply);
+            self.handle_worker_answer(ticket, WorkerAnswer::NoReply);
         }
     }
 
     /// Has a call carried, if there is a carrier; tells by whom.
-    pub(super) fn have_carried(
+    pub(super) fn send_via_proxy(
         &mut self,
         ticket: Ticket,
         worker: &WorkerId,
@@ -135,36 +137,36 @@
         time: Duration,
     ) -> Option<PeerAddress> {
         let lead = self.lead.as_deref()?;
-        let carrier = lead.carriers.carrier_of(worker)?;
-        let address = lead.seats.get(worker)?.entry.address.clone();
-        let order = CarriedOrder::of(call)?;
-        let call = CarriedCall {
+        let proxy = lead.proxies.proxy_of(worker)?;
+        let address = lead.worker_states.get(worker)?.entry.address.clone();
+        let order = ProxiedOrder::of(call)?;
+        let call = ProxiedCall {
             worker: worker.clone(),
             address,
             token: lead.epoch,
             order,
             time_ms: time.as_millis() as u64,
         };
-        self.tell(carrier, PeerMessage::Carry { ticket, call });
-        Some(carrier)
+        self.send_message(proxy, PeerMessage::Carry { ticket, call });
+        Some(proxy)
     }
 
     /// Carries a call for the leader.
-    pub(super) fn carry_call(&mut self, from: PeerAddress, ticket: Ticket, carried: CarriedCall) {
+    pub(super) fn proxy_call(&mut self, from: PeerAddress, ticket: Ticket, carried: ProxiedCall) {
         let Some(call) = self.whole_call(carried.order) else {
             // The book does not have the job yet: it is surely not sent, and the leader tries again.
             let answer = WorkerAnswer::NotSent;
-            self.tell(from, PeerMessage::Carried { ticket, answer });
+            self.send_message(from, PeerMessage::Carried { ticket, answer });
             return;
         };
         let own_ticket = self.take_ticket();
         let since = self.now;
-        let carried_for = CarriedFor {
+        let carried_for = ProxyOrigin {
             leader: from,
             ticket,
             since,
         };
-        self.carrying.insert(own_ticket, carried_for);
+        self.proxied_calls.insert(own_ticket, carried_for);
         self.counters.count("calls", "carried");
         self.push_worker_call(
             own_ticket,
@@ -177,9 +179,9 @@
     }
 
     /// The call with the job that it is for, from the own book.
-    fn whole_call(&self, order: CarriedOrder) -> Option<WorkerCall> {
+    fn whole_call(&self, order: ProxiedOrder) -> Option<WorkerCall> {
         Some(match order {
-            CarriedOrder::Start {
+            ProxiedOrder::Start {
                 task,
                 run,
                 saved,
@@ -193,8 +195,8 @@
                 permit,
                 until_ms,
             })),
-            CarriedOrder::Stop { task, run } => WorkerCall::Stop { task, run },
-            CarriedOrder::Hold {
+            ProxiedOrder::Stop { task, run } => WorkerCall::Stop { task, run },
+            ProxiedOrder::Hold {
                 until_ms,
                 kept,
                 connection,
@@ -209,20 +211,20 @@
     }
 
     /// Passes an answer on if its call was carried for the leader.
-    pub(super) fn pass_answer_on(&mut self, ticket: Ticket, answer: &WorkerAnswer) -> bool {
-        let Some(carried_for) = self.carrying.remove(&ticket) else {
+    pub(super) fn forward_answer(&mut self, ticket: Ticket, answer: &WorkerAnswer) -> bool {
+        let Some(carried_for) = self.proxied_calls.remove(&ticket) else {
             return false;
         };
         let ticket = carried_for.ticket;
         let answer = answer.clone();
-        self.tell(carried_for.leader, PeerMessage::Carried { ticket, answer });
+        self.send_message(carried_for.leader, PeerMessage::Carried { ticket, answer });
         true
     }
 
     /// Forgets carried calls of whose end no word will come.
-    pub(super) fn forget_carried(&mut self) {
+    pub(super) fn expire_proxied_calls(&mut self) {
         let now = self.now;
-        while let Some(first) = self.carrying.first_entry() {
+        while let Some(first) = self.proxied_calls.first_entry() {
             if now.saturating_sub(first.get().since) < FORGET_CALL {
                 return;
             }
--- a/crates/bankvalve_queue/src/core/callers.rs
+++ b/crates/bankvalve_queue/src/core/callers.rs
@@ -3,8 +3,8 @@
 use std::time::Duration;
 
 use super::commit::{Effect, Origin};
-use super::lead::{LeadState, UnknownAsk};
-use super::sight::job_text;
+use super::lead_state::{LeadState, UnknownJobRequest};
+use super::readiness::job_text;
 use super::EntryCore;
 use crate::caller::{CallerAnswer, CallerRequest, JobState, RefusalReason, ResolvedRequest};
 use crate::core::CoreAction;
@@ -35,7 +35,7 @@
 
 /// A caller's request that has no answer yet.
 #[derive(Debug)]
-pub(super) struct OpenAsk {
+pub(super) struct OpenRequest {
     pub(super) request: CallerRequest,
     caller: CallerIdentity,
     /// Version of the configuration under which it was read.
@@ -51,8 +51,8 @@
 }
 
 impl EntryCore {
-    pub(super) fn take_request(&mut self, ticket: Ticket, request: ResolvedRequest) {
-        if self.asks.len() >= ASK_LIMIT {
+    pub(super) fn handle_request(&mut self, ticket: Ticket, request: ResolvedRequest) {
+        if self.open_requests.len() >= ASK_LIMIT {
             self.refuse(ticket, RefusalReason::Overload);
             return;
         }
@@ -65,7 +65,7 @@
             _ => None,
         };
         let caller = request.caller;
-        if let Some(answer) = asked.and_then(|job| self.kept_end(job, &caller)) {
+        if let Some(answer) = asked.and_then(|job| self.committed_outcome(job, &caller)) {
             self.actions.push(CoreAction::Answer { ticket, answer });
             return;
         }
@@ -81,7 +81,7 @@
         }
         let patience = Duration::from_millis(request.patience_ms * PATIENCE_PERCENT / 100);
         let (since, until) = (self.now, self.now + patience);
-        let ask = OpenAsk {
+        let ask = OpenRequest {
             request: request.request,
             caller: caller.clone(),
             table_version: request.table_version,
@@ -91,9 +91,9 @@
             sent: None,
             copies: 0,
         };
-        self.asks.insert(ticket, ask);
-        let reader = asked.and_then(|job| self.read_own_book(Origin::Own(ticket), job, &caller));
-        match (reader, self.asks.get_mut(&ticket)) {
+        self.open_requests.insert(ticket, ask);
+        let reader = asked.and_then(|job| self.read_local_book(Origin::Own(ticket), job, &caller));
+        match (reader, self.open_requests.get_mut(&ticket)) {
             (Some(leader), Some(ask)) => {
                 ask.reading = true;
                 ask.sent = Some((leader, since));
@@ -129,9 +129,13 @@
     /// How a job ended, by the own book: what is in a follower's is kept, and an end stands for good.
     ///
     /// **NOTE:** One that is open here may be over meanwhile, so that is told only with the leader's
-    /// word (see `book_reads`): a caller that was told of a cancel is not shown the job as
+    /// word (see `follower_reads`): a caller that was told of a cancel is not shown the job as
     /// running by another instance.
-    pub(super) fn kept_end(&self, job: JobId, caller: &CallerIdentity) -> Option<CallerAnswer> {
+    pub(super) fn committed_outcome(
+        &self,
+        job: JobId,
+        caller: &CallerIdentity,
+    ) -> Option<CallerAnswer> {
         if self.lead.is_some() {
             return None;
         }
@@ -147,7 +151,7 @@
         };
         let leader = view.address;
         let own = leader == self.settings.address;
-        if !own && (view.loading || self.age(view.heard_at) > self.silence_of_leader()) {
+        if !own && (view.loading || self.age(view.last_contact) > self.silence_of_leader()) {
             // It stays certain that the request was not taken up. One that reads the ledger says
             // when it has it; requests sent over and over would fill the link that it reads by.
             return;
@@ -155,7 +159,7 @@
         if own && !self.lead.as_ref().is_some_and(|lead| lead.loaded) {
             return;
         }
-        let Some(ask) = self.asks.get_mut(&ticket) else {
+        let Some(ask) = self.open_requests.get_mut(&ticket) else {
             return;
         };
         ask.sent = Some((leader, now));
@@ -174,9 +178,9 @@
             };
             // A question that is sent again goes the straight way.
             if first {
-                self.tell_through_hub(leader, message);
+                self.send_via_hub(leader, message);
             } else {
-                self.tell(leader, message);
+                self.send_message(leader, message);
             }
         }
     }
@@ -184,15 +188,15 @@
     /// Silence of the leader after which it is not sent requests. Of many members the far ones are
     /// told of it by others, some tenths of a second later.
     fn silence_of_leader(&self) -> Duration {
-        let far = self.is_far_of_many();
+        let far = self.is_behind_hubs();
         SILENT_LEADER + if far { TOLD_LATER } else { Duration::ZERO }
     }
 
     /// Sends all open requests to the leader that is known now.
-    pub(super) fn resend_asks(&mut self) {
-        let tickets: Vec<Ticket> = self.asks.keys().copied().collect();
+    pub(super) fn resend_requests(&mut self) {
+        let tickets: Vec<Ticket> = self.open_requests.keys().copied().collect();
         for ticket in tickets {
-            if let Some(ask) = self.asks.get_mut(&ticket) {
+            if let Some(ask) = self.open_requests.get_mut(&ticket) {
                 ask.reading = false;
                 ask.sent = None;
             }
@@ -201,8 +205,8 @@
     }
 
     /// Has a request go to the leader that the own book could not answer.
-    pub(super) fn end_reading(&mut self, ticket: Ticket) {
-        if let Some(ask) = self.asks.get_mut(&ticket) {
+    pub(super) fn request_leader_instead(&mut self, ticket: Ticket) {
+        if let Some(ask) = self.open_requests.get_mut(&ticket) {
             ask.reading = false;
             ask.sent = None;
         }
@@ -210,15 +214,15 @@
     }
 
     /// Sends again what had no answer, and gives up what would come too late.
-    pub(super) fn run_asks(&mut self) {
+    pub(super) fn run_open_requests(&mut self) {
         let now = self.now;
         let own = self.settings.address;
-        let resent = self.keeps(SiteGuard::ResentAsk);
-        let pause = RESEND_AFTER + self.way_to_leader();
+        let resent = self.enforces(SiteGuard::ResentAsk);
+        let pause = RESEND_AFTER + self.round_trip_to_leader();
         let unanswered = |(to, at)| to != own && now.saturating_sub(at) > pause;
         let mut again = Vec::new();
         let mut over = Vec::new();
-        for (ticket, ask) in &self.asks {
+        for (ticket, ask) in &self.open_requests {
             let waited = now.saturating_sub(ask.since);
             if now >= ask.until || (waited > LEADER_WAIT && ask.sent.is_none()) {
                 over.push(*ticket);
@@ -235,7 +239,7 @@
     }
 
     fn give_up(&mut self, ticket: Ticket) {
-        let Some(ask) = self.asks.remove(&ticket) else {
+        let Some(ask) = self.open_requests.remove(&ticket) else {
             return;
         };
         self.log_given_up(&ask);
@@ -248,8 +252,8 @@
         }
     }
 
-    pub(super) fn end_ask(&mut self, ticket: Ticket, answer: CallerAnswer) {
-        let Some(ask) = self.asks.remove(&ticket) else {
+    pub(super) fn finish_request(&mut self, ticket: Ticket, answer: CallerAnswer) {
+        let Some(ask) = self.open_requests.remove(&ticket) else {
             return;
         };
         let cancels = matches!(ask.request, CallerRequest::Cancel { .. });
@@ -266,7 +270,7 @@
         self.actions.push(CoreAction::Answer { ticket, answer });
     }
 
-    pub(super) fn take_ask(
+    pub(super) fn handle_forwarded_request(
         &mut self,
         from: PeerAddress,
         ticket: Ticket,
@@ -279,11 +283,11 @@
             self.serve_read(Origin::Peer(from, ticket), table_version, caller, request);
         } else {
             let answer = None;
-            self.tell_through_hub(from, PeerMessage::Reply { ticket, answer });
+            self.send_via_hub(from, PeerMessage::Reply { ticket, answer });
         }
     }
 
-    pub(super) fn take_reply(
+    pub(super) fn handle_reply(
         &mut self,
         from: PeerAddress,
         ticket: Ticket,
@@ -292,13 +296,13 @@
         match answer {
             Some(CallerAnswer::Refused { .. }) if self.is_served_here(ticket) => {
                 // The leader before turns its copy away; this instance answers its own.
-                if let Some(ask) = self.asks.get_mut(&ticket) {
+                if let Some(ask) = self.open_requests.get_mut(&ticket) {
                     ask.copies = ask.copies.saturating_sub(1);
                 }
             }
-            Some(answer) => self.end_ask(ticket, answer),
+            Some(answer) => self.finish_request(ticket, answer),
             None => {
-                let Some(ask) = self.asks.get_mut(&ticket) else {
+                let Some(ask) = self.open_requests.get_mut(&ticket) else {
                     return;
                 };
                 ask.copies = ask.copies.saturating_sub(1);
@@ -317,13 +321,13 @@
     /// Tells whether this instance leads and has taken a request up itself.
     fn is_served_here(&self, ticket: Ticket) -> bool {
         let own = self.settings.address;
-        let ask = self.asks.get(&ticket);
+        let ask = self.open_requests.get(&ticket);
         ask.is_some_and(|ask| ask.sent.is_some_and(|(to, _)| to == own))
     }
 
     /// Answers a request about a job that was not known when it came, now that it is sure that this
     /// instance led then; meanwhile the job may have been handed in.
-    pub(super) fn serve_unknown(&mut self, ask: UnknownAsk) {
+    pub(super) fn serve_unknown(&mut self, ask: UnknownJobRequest) {
         let known = match &ask.request {
             CallerRequest::Status { job } | CallerRequest::Cancel { job } => {
                 self.book.job(*job).is_some()
@@ -426,7 +430,10 @@
         let open = matches!(state, JobState::Pending | JobState::Running);
         // Another may have led while this instance stood still or was cut off, and cancelled or ended
         // the job.
-        let doubts = self.lead.as_deref().is_some_and(LeadState::doubts_its_lead);
+        let doubts = self
+            .lead
+            .as_deref()
+            .is_some_and(LeadState::must_confirm_lead);
         if open && (doubts || self.is_cut_off()) {
             self.confirm_unknown(origin, caller, CallerRequest::Status { job });
             return;
@@ -473,7 +480,7 @@
         let at = self.now;
         let caller = caller.clone();
         if let Some(lead) = self.lead.as_deref_mut() {
-            lead.confirm_waiting.push(UnknownAsk {
+            lead.confirm_waiting.push(UnknownJobRequest {
                 at,
                 origin,
                 caller,
--- a/crates/bankvalve_queue/src/core/making_room.rs
+++ b/crates/bankvalve_queue/src/core/capacity_reclaim.rs
@@ -9,10 +9,10 @@
 use std::collections::BinaryHeap;
 use std::time::Duration;
 
-use super::choosing::{admits, held_of};
 use super::live_run::{LiveRun, RunPhase};
-use super::placing::PlacedStep;
-use super::seat::Seat;
+use super::placement::StepToPlace;
+use super::worker_selection::{is_eligible, tasks_on};
+use super::worker_state::WorkerState;
 use super::EntryCore;
 use crate::ids::{CoreTime, StepKey, TaskKey, WorkerId};
 use crate::job::TaskSize;
@@ -55,7 +55,7 @@
 
 /// Room that is kept for a step.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct RoomClaim {
+pub(super) struct CapacityClaim {
     since: CoreTime,
     until: CoreTime,
     /// Processor that is kept, in millicores.
@@ -64,7 +64,7 @@
 
 /// A way to room for one task on one worker.
 #[derive(Clone, Debug)]
-pub(super) struct RoomPlan {
+pub(super) struct CapacityPlan {
     worker: WorkerId,
     /// Time until the room is free.
     after: Duration,
@@ -76,7 +76,7 @@
     weight: u64,
 }
 
-impl RoomPlan {
+impl CapacityPlan {
     pub(super) fn worker(&self) -> &WorkerId {
         &self.worker
     }
@@ -90,7 +90,7 @@
 /// A plan for one task, in the order in which plans are taken.
 struct PlannedTask {
     place: usize,
-    plan: RoomPlan,
+    plan: CapacityPlan,
 }
 
 impl PlannedTask {
@@ -120,9 +120,9 @@
 impl Eq for PlannedTask {}
 
 /// A worker with what plans so far leave of it.
-struct PlannedSeat<'a> {
+struct PlannedWorker<'a> {
     id: &'a WorkerId,
-    seat: &'a Seat,
+    state: &'a WorkerState,
     /// What is free, and what becomes free by the plans so far.
     room: TaskSize,
     /// What of it is kept for other steps or taken by the plans so far; it may be more than is free
@@ -135,11 +135,11 @@
 
 impl EntryCore {
     /// Tells whether a step has waited so long for room that room is made for it.
-    pub(super) fn may_make_room(&self, key: StepKey) -> bool {
+    pub(super) fn may_reclaim_capacity(&self, key: StepKey) -> bool {
         let Some(lead) = self.lead.as_deref() else {
             return false;
         };
-        let Some(since) = lead.room_waits.get(&key) else {
+        let Some(since) = lead.capacity_waits.get(&key) else {
             return false;
         };
         let step = lead.waiting.get(&key);
@@ -152,52 +152,55 @@
     }
 
     /// Tells whether room is being made or kept for a step.
-    pub(super) fn has_room_claim(&self, key: StepKey) -> bool {
+    pub(super) fn has_capacity_claim(&self, key: StepKey) -> bool {
         let lead = self.lead.as_deref();
-        let claim = lead.and_then(|lead| lead.room_claims.get(&key));
+        let claim = lead.and_then(|lead| lead.capacity_claims.get(&key));
         claim.is_some_and(|claim| claim.until > self.now)
     }
 
     /// Notes that tasks of a step found no room.
-    pub(super) fn note_room_wait(&mut self, key: StepKey) {
+    pub(super) fn note_capacity_wait(&mut self, key: StepKey) {
         let now = self.now;
         if let Some(lead) = self.lead.as_deref_mut() {
-            lead.room_waits.entry(key).or_insert(now);
+            lead.capacity_waits.entry(key).or_insert(now);
         }
     }
 
     /// Forgets that a step waited for room, and what was kept for it.
-    pub(super) fn drop_room_claim(&mut self, key: StepKey) {
+    pub(super) fn drop_capacity_claim(&mut self, key: StepKey) {
         let now = self.now;
         let Some(lead) = self.lead.as_deref_mut() else {
             return;
         };
-        lead.room_waits.remove(&key);
-        if lead.room_claims.remove(&key).is_some() {
-            for seat in lead.seats.values_mut() {
-                seat.drop_reservation(key, now);
+        lead.capacity_waits.remove(&key);
+        if lead.capacity_claims.remove(&key).is_some() {
+            for state in lead.worker_states.values_mut() {
+                state.drop_reservation(key, now);
             }
         }
     }
 
     /// Makes room for tasks of a step that found none.
-    pub(super) fn make_room(&mut self, step: &PlacedStep, missing: usize) {
+    pub(super) fn reclaim_capacity(&mut self, step: &StepToPlace, missing: usize) {
         let now = self.now;
         let key = step.key;
         let Some(lead) = self.lead.as_deref() else {
             return;
         };
-        let kept = |seat: &Seat| seat.keeps_room_for(key, now);
-        if lead.seats.values().any(kept) {
+        let kept = |state: &WorkerState| state.has_reservation_for(key, now);
+        if lead.worker_states.values().any(kept) {
             self.keep_on(key);
             return;
         }
         let others = lead
-            .room_claims
+            .capacity_claims
             .iter()
             .filter(|(other, claim)| **other != key && claim.until > now);
         let kept: u64 = others.clone().map(|(_, claim)| claim.millicores).sum();
-        let rooms = lead.seats.values().map(|seat| seat.entry.room.millicores);
+        let rooms = lead
+            .worker_states
+            .values()
+            .map(|state| state.entry.room.millicores);
         let all: u64 = rooms.sum();
         let many = others.count() >= MOST_WAITING && kept * 100 >= all * KEPT_PERCENT;
         let paused = |at: &CoreTime| now < *at;
@@ -226,7 +229,7 @@
         let Some(lead) = self.lead.as_deref_mut() else {
             return;
         };
-        let Some(claim) = lead.room_claims.get_mut(&key) else {
+        let Some(claim) = lead.capacity_claims.get_mut(&key) else {
             return;
         };
         let ends_soon = claim.until <= now + KEEP_ON;
@@ -235,26 +238,26 @@
         }
         claim.until = now + KEEP_TIME;
         let until = claim.until;
-        for seat in lead.seats.values_mut() {
-            seat.prolong_reservation(key, until, now);
+        for state in lead.worker_states.values_mut() {
+            state.extend_reservation(key, until, now);
         }
     }
 
     /// Plans room for tasks that last and return: what is kept for other steps gives way, but for those
     /// that return as well.
-    pub(super) fn plan_return(&self, step: &PlacedStep, tasks: usize) -> Vec<RoomPlan> {
+    pub(super) fn plan_restart(&self, step: &StepToPlace, tasks: usize) -> Vec<CapacityPlan> {
         let lead = self.lead.as_deref();
-        let stands = |key: StepKey| lead.is_some_and(|lead| lead.returning.contains_key(&key));
+        let stands = |key: StepKey| lead.is_some_and(|lead| lead.restarting.contains_key(&key));
         self.plan_room(step, tasks, stands)
     }
 
     /// Plans room for tasks of a step; what is kept for others stands as is told.
     fn plan_room(
         &self,
-        step: &PlacedStep,
+        step: &StepToPlace,
         tasks: usize,
         stands: impl Fn(StepKey) -> bool,
-    ) -> Vec<RoomPlan> {
+    ) -> Vec<CapacityPlan> {
         let now = self.now;
         if tasks == 0 {
             return Vec::new();
@@ -265,51 +268,51 @@
         let advice = lead.advice.get(&step.key);
         let permitted =
             |id: &WorkerId| step.rule.is_none() || advice.is_some_and(|advice| advice.is_good(id));
-        let mut seats: Vec<PlannedSeat<'_>> = lead
-            .seats
+        let mut worker_states: Vec<PlannedWorker<'_>> = lead
+            .worker_states
             .iter()
-            .filter(|(id, seat)| permitted(id) && admits((id, seat), step, now))
-            .map(|(id, seat)| PlannedSeat {
+            .filter(|(id, state)| permitted(id) && is_eligible((id, state), step, now))
+            .map(|(id, state)| PlannedWorker {
                 id,
-                seat,
-                room: seat.entry.room.minus(&seat.used),
-                taken: kept_that_stands(seat, step.key, now, &stands),
+                state,
+                room: state.entry.room.minus(&state.used),
+                taken: kept_that_stands(state, step.key, now, &stands),
                 gone: Vec::new(),
-                held: held_of(seat, step.key),
+                held: tasks_on(state, step.key),
             })
             .collect();
         // The soonest first. A plan changes only what is left of its own worker, so of a thousand
         // workers each is gone through once, and those that are taken once more.
         let mut soonest: BinaryHeap<Reverse<PlannedTask>> = BinaryHeap::new();
-        let next_on = |seats: &[PlannedSeat<'_>], place: usize| {
-            let seat = &seats[place];
-            let free = seat.held < step.worker_limit();
-            let plan = self.plan_on(step, seat).filter(|_| free)?;
+        let next_on = |worker_states: &[PlannedWorker<'_>], place: usize| {
+            let state = &worker_states[place];
+            let free = state.held < step.worker_limit();
+            let plan = self.plan_on(step, state).filter(|_| free)?;
             Some(Reverse(PlannedTask { place, plan }))
         };
-        soonest.extend((0..seats.len()).filter_map(|place| next_on(&seats, place)));
+        soonest.extend((0..worker_states.len()).filter_map(|place| next_on(&worker_states, place)));
         let mut plans = Vec::new();
         while plans.len() < tasks {
             let Some(Reverse(PlannedTask { place, plan })) = soonest.pop() else {
                 break;
             };
-            seats[place].take(step, &plan);
-            soonest.extend(next_on(&seats, place));
+            worker_states[place].take(step, &plan);
+            soonest.extend(next_on(&worker_states, place));
             plans.push(plan);
         }
         plans
     }
 
     /// The soonest way to room for one task on a worker.
-    fn plan_on(&self, step: &PlacedStep, planned: &PlannedSeat<'_>) -> Option<RoomPlan> {
+    fn plan_on(&self, step: &StepToPlace, planned: &PlannedWorker<'_>) -> Option<CapacityPlan> {
         let patience = if step.urgent {
             Duration::ZERO
         } else {
             PATIENCE
         };
         let mut room = planned.room;
-        let wanted = step.room_on(planned.seat).plus(&planned.taken);
-        let mut plan = RoomPlan {
+        let wanted = step.resources_on(planned.state).plus(&planned.taken);
+        let mut plan = CapacityPlan {
             worker: planned.id.clone(),
             after: Duration::ZERO,
             freed: Vec::new(),
@@ -320,7 +323,7 @@
             return Some(plan);
         }
         let mut ways: Vec<(Duration, u64, bool, TaskKey, TaskSize)> = planned
-            .seat
+            .state
             .runs
             .iter()
             .filter(|(task, _)| !planned.gone.contains(task))
@@ -328,9 +331,9 @@
                 let left = self.time_left(*task, live);
                 let stop = self.may_stop_for(step, *task, live) && left > STOP_TIME;
                 let after = if stop { STOP_TIME } else { left };
-                let weight = if stop { weight_of(&live.room) } else { 0 };
+                let weight = if stop { weight_of(&live.resources) } else { 0 };
                 let patience = if stop { patience } else { Duration::ZERO };
-                (after + patience, weight, stop, *task, live.room)
+                (after + patience, weight, stop, *task, live.resources)
             })
             .collect();
         // Of those that are free as soon, the largest first, so that few are stopped.
@@ -366,32 +369,32 @@
         by_pace.unwrap_or(expected)
     }
 
-    fn may_stop_for(&self, step: &PlacedStep, task: TaskKey, live: &LiveRun) -> bool {
+    fn may_stop_for(&self, step: &StepToPlace, task: TaskKey, live: &LiveRun) -> bool {
         let stops = self.lead.as_deref().and_then(|lead| lead.stops.get(&task));
         // Nothing can start in its place while the table is away.
-        let may_stop = self.uses(PolicySwitch::Preemption) && !self.store_is_away();
+        let may_stop = self.uses(PolicySwitch::Preemption) && !self.store_is_unavailable();
         may_stop
             && live.saves
-            && !live.together
+            && !live.must_not_move
             && live.priority > step.priority
             && matches!(live.phase, RunPhase::Running { .. })
             && stops.copied().unwrap_or(0) < MOST_STOPS
     }
 
-    fn carry_out(&mut self, step: &PlacedStep, plans: &[RoomPlan]) {
+    fn carry_out(&mut self, step: &StepToPlace, plans: &[CapacityPlan]) {
         let now = self.now;
         let after = plans.iter().map(|plan| plan.after).max();
         let until = now + KEEP_TIME;
         let Some(lead) = self.lead.as_deref_mut() else {
             return;
         };
-        let claim = RoomClaim {
+        let claim = CapacityClaim {
             since: now,
             until,
-            millicores: step.room.millicores * plans.len() as u64,
+            millicores: step.resources.millicores * plans.len() as u64,
         };
-        lead.room_claims.insert(step.key, claim);
-        self.keep_room(step, plans.iter().map(|plan| &plan.worker), until);
+        lead.capacity_claims.insert(step.key, claim);
+        self.reserve_capacity(step, plans.iter().map(|plan| &plan.worker), until);
         let stops = plans.iter().map(|plan| plan.stops.len()).sum::<usize>();
         let detail = format!(
             "room for {} tasks on {} after {after:?}, {stops} runs stopped",
@@ -402,11 +405,11 @@
         self.counters.count("placements", "room_made");
         self.counters
             .count_many("placements", "stopped_for_room", stops as u64);
-        self.stop_for(plans);
+        self.stop_planned_runs(plans);
     }
 
     /// Stops what plans say is to be stopped.
-    pub(super) fn stop_for(&mut self, plans: &[RoomPlan]) {
+    pub(super) fn stop_planned_runs(&mut self, plans: &[CapacityPlan]) {
         for plan in plans {
             for task in &plan.stops {
                 if let Some(lead) = self.lead.as_deref_mut() {
@@ -418,30 +421,30 @@
     }
 }
 
-impl PlannedSeat<'_> {
+impl PlannedWorker<'_> {
     /// Takes the room of a plan; each run's room counts for one task only.
-    fn take(&mut self, step: &PlacedStep, plan: &RoomPlan) {
+    fn take(&mut self, step: &StepToPlace, plan: &CapacityPlan) {
         for task in &plan.freed {
-            if let Some(live) = self.seat.runs.get(task) {
-                self.room = self.room.plus(&live.room);
+            if let Some(live) = self.state.runs.get(task) {
+                self.room = self.room.plus(&live.resources);
             }
         }
         self.gone.extend(plan.freed.iter().copied());
-        self.taken = self.taken.plus(&step.room_on(self.seat));
+        self.taken = self.taken.plus(&step.resources_on(self.state));
         self.held += 1;
     }
 }
 
 /// Room that is kept on a worker for other steps, of those whose room stands.
 fn kept_that_stands(
-    seat: &Seat,
+    state: &WorkerState,
     step: StepKey,
     now: CoreTime,
     stands: impl Fn(StepKey) -> bool,
 ) -> TaskSize {
-    let kept = seat.reserved.iter();
+    let kept = state.reserved.iter();
     let kept = kept.filter(|kept| kept.step != step && kept.until > now && stands(kept.step));
-    kept.fold(TaskSize::default(), |sum, kept| sum.plus(&kept.room))
+    kept.fold(TaskSize::default(), |sum, kept| sum.plus(&kept.resources))
 }
 
 fn weight_of(size: &TaskSize) -> u64 {
--- a/crates/bankvalve_queue/src/core/commit.rs
+++ b/crates/bankvalve_queue/src/core/commit.rs
@@ -3,7 +3,7 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-use super::following::batch_key;
+use super::follower::batch_key;
 use super::incarnation::Incarnation;
 use super::store_link::{StorePurpose, CELL_TABLE, LEAD_PART, LEDGER_TABLE};
 use super::EntryCore;
@@ -52,11 +52,11 @@
     None,
     Answer(Origin, CallerAnswer),
     Order(TaskKey, u64),
-    ForgetEnd(Incarnation, u64),
+    AcknowledgeEnd(Incarnation, u64),
     /// A job is over.
-    Over(JobId),
+    JobEnded(JobId),
     /// A worker's hold may be prolonged again.
-    ProlongHold(WorkerId),
+    RenewLease(WorkerId),
 }
 
 /// An event that is to be kept; without one, the effect waits for those before it.
@@ -68,7 +68,7 @@
 
 /// Batches that are being written.
 #[derive(Debug)]
-pub(super) struct CommitFlight {
+pub(super) struct InFlightCommit {
     /// Number of the first batch.
     pub(super) sequence: u64,
     /// The batches, encoded.
@@ -102,7 +102,7 @@
         };
         if let Some(job) = job {
             *lead.uncommitted.entry(job).or_default() += 1;
-            lead.touched.insert(job);
+            lead.dirty_jobs.insert(job);
         }
         lead.pending.push_back(Proposal {
             event: Some(event),
@@ -110,7 +110,7 @@
         });
         if let Some(job) = over {
             lead.ending.insert(job);
-            self.follow_up(Effect::Over(job));
+            self.follow_up(Effect::JobEnded(job));
         }
     }
 
@@ -156,23 +156,25 @@
         }
     }
 
-    pub(super) fn note_store_question(&mut self) {
+    pub(super) fn note_store_request(&mut self) {
         let now = self.now;
         if let Some(lead) = self.lead.as_deref_mut() {
-            lead.asked_since.get_or_insert(now);
+            lead.unanswered_since.get_or_insert(now);
         }
     }
 
     /// Tells whether the table has left a write unanswered for long.
-    pub(super) fn store_is_away(&self) -> bool {
+    pub(super) fn store_is_unavailable(&self) -> bool {
         let Some(lead) = self.lead.as_deref() else {
             return false;
         };
         let flight = lead.flight.as_ref();
-        lead.away_since.is_some()
+        lead.unavailable_since.is_some()
             || flight.is_some_and(|flight| {
                 let age = self.age(flight.since);
-                let silent = self.store_heard.is_none_or(|at| self.age(at) > STORE_HEARD);
+                let silent = self
+                    .store_last_contact
+                    .is_none_or(|at| self.age(at) > STORE_HEARD);
                 flight.refused >= REFUSED_AWAY || (silent && age > STORE_AWAY) || age > STORE_STUCK
             })
     }
@@ -187,7 +189,7 @@
             return;
         }
         if lead.flight.is_some() {
-            self.pursue_flight();
+            self.pursue_commit();
             return;
         }
         if lead.pending.is_empty() || now < lead.next_commit_at {
@@ -209,7 +211,7 @@
             return;
         }
         lead.next_commit_at = now + COMMIT_PACE;
-        lead.flight = Some(CommitFlight {
+        lead.flight = Some(InFlightCommit {
             sequence: lead.sequence + 1,
             rows,
             events,
@@ -223,10 +225,10 @@
             uncertain: false,
             refused: 0,
         });
-        self.send_flight();
+        self.send_commit();
     }
 
-    pub(super) fn send_flight(&mut self) {
+    pub(super) fn send_commit(&mut self) {
         let Some(lead) = self.lead.as_deref() else {
             return;
         };
@@ -234,7 +236,7 @@
             return;
         };
         let leader = RowKey::new(CELL_TABLE, LEAD_PART, "leader");
-        let fenced = self.keeps(SiteGuard::OwnRow);
+        let fenced = self.enforces(SiteGuard::OwnRow);
         let numbered = flight.sequence..;
         let writes = numbered.zip(&flight.rows).map(|(sequence, row)| RowWrite {
             key: batch_row(sequence),
@@ -261,8 +263,8 @@
             sequence: flight.sequence,
             sent_at: self.now,
         };
-        self.note_store_question();
-        self.ask_store_within(purpose, request, COMMIT_TIME);
+        self.note_store_request();
+        self.send_store_request_within(purpose, request, COMMIT_TIME);
     }
 
     pub(super) fn end_commit(&mut self, sequence: u64, sent_at: CoreTime, outcome: StoreOutcome) {
@@ -270,7 +272,7 @@
         let Some(lead) = self.lead.as_deref_mut() else {
             return;
         };
-        let own = |flight: &CommitFlight| flight.sequence == sequence;
+        let own = |flight: &InFlightCommit| flight.sequence == sequence;
         if !lead.flight.as_ref().is_some_and(own) {
             return;
         }
@@ -291,7 +293,7 @@
                     let begun_at = flight.since;
                     self.finish_commit(begun_at);
                 } else {
-                    self.depose("a write under the own row was refused");
+                    self.step_down("a write under the own row was refused");
                     self.read_leader_row();
                 }
             }
@@ -299,13 +301,13 @@
                 flight.copies = flight.copies.saturating_sub(1);
                 flight.next_at = now;
                 flight.uncertain = true;
-                self.withdraw_unkept();
+                self.withdraw_uncommitted();
             }
             _ => {
                 flight.copies = flight.copies.saturating_sub(1);
                 flight.next_at = now + BUSY_PAUSE;
                 flight.refused += 1;
-                self.withdraw_unkept();
+                self.withdraw_uncommitted();
             }
         }
     }
@@ -323,7 +325,7 @@
         lead.sequence = flight.sequence + flight.rows.len() as u64 - 1;
         lead.confirmed_at = lead.confirmed_at.max(confirmed_at);
         lead.note_store_answer();
-        lead.away_since = None;
+        lead.unavailable_since = None;
         self.applied = lead.sequence;
         for job in flight.events.iter().filter_map(LedgerEvent::job) {
             if let Some(count) = lead.uncommitted.get_mut(&job) {
@@ -334,7 +336,7 @@
             }
         }
         let epoch = lead.epoch;
-        let limited = lead.load.was_limited_lately(now);
+        let limited = lead.load.was_limited_recently(now);
         self.counters.count("commits", "kept");
         let standbys = self.live_standbys();
         for (sequence, row) in (flight.sequence..).zip(flight.rows) {
@@ -364,10 +366,10 @@
             onward: onward.to_vec(),
         };
         match standbys.split_first() {
-            Some((first, others)) if passed_on => self.tell(*first, committed(row, others)),
+            Some((first, others)) if passed_on => self.send_message(*first, committed(row, others)),
             _ => {
                 for peer in standbys {
-                    self.tell(*peer, committed(row.clone(), &[]));
+                    self.send_message(*peer, committed(row.clone(), &[]));
                 }
             }
         }
@@ -379,18 +381,18 @@
                 Effect::None => {}
                 Effect::Answer(origin, answer) => self.answer(origin, answer),
                 Effect::Order(task, run) => self.begin_order(task, run),
-                Effect::Over(job) => self.note_over(job),
-                Effect::ProlongHold(worker) => self.prolong_again(&worker),
-                Effect::ForgetEnd(incarnation, number) => {
+                Effect::JobEnded(job) => self.note_over(job),
+                Effect::RenewLease(worker) => self.resume_lease_renewal(&worker),
+                Effect::AcknowledgeEnd(incarnation, number) => {
                     if let Some(lead) = self.lead.as_deref_mut() {
-                        if let Some(seat) = lead.seats.of_mut(&incarnation) {
-                            seat.kept = seat.kept.max(number);
-                            if seat.kept == seat.seen {
-                                seat.next_hold = self.now;
+                        if let Some(state) = lead.worker_states.get_incarnation_mut(&incarnation) {
+                            state.last_end_committed = state.last_end_committed.max(number);
+                            if state.last_end_committed == state.last_end_seen {
+                                state.next_poll = self.now;
                             }
                         }
                     }
-                    self.look_if_due(&incarnation.worker);
+                    self.poll_if_due(&incarnation.worker);
                 }
             }
         }
@@ -398,10 +400,10 @@
 
     pub(super) fn answer(&mut self, origin: Origin, answer: CallerAnswer) {
         match origin {
-            Origin::Own(ticket) => self.end_ask(ticket, answer),
+            Origin::Own(ticket) => self.finish_request(ticket, answer),
             Origin::Peer(peer, ticket) => {
                 let answer = Some(answer);
-                self.tell_through_hub(peer, PeerMessage::Reply { ticket, answer });
+                self.send_via_hub(peer, PeerMessage::Reply { ticket, answer });
             }
         }
     }
@@ -421,7 +423,7 @@
         if let Some(lead) = self.lead.as_deref_mut() {
             lead.load_at = None;
         }
-        self.note_store_question();
+        self.note_store_request();
         self.read_ledger();
     }
 
@@ -433,7 +435,7 @@
             lead.loaded = true;
         }
         self.catching_up = false;
-        self.adopt_book();
+        self.adopt_runs();
     }
 }
 
@@ -471,7 +473,7 @@
 }
 
 /// Tells whether the rows of a conflict show that an earlier copy of the write was done.
-fn own_batch_stands(rows: &[StoredRow], flight: &CommitFlight, row_version: u64) -> bool {
+fn own_batch_stands(rows: &[StoredRow], flight: &InFlightCommit, row_version: u64) -> bool {
     let key = batch_row(flight.sequence);
     let leader_stands = rows
         .iter()
--- a/crates/bankvalve_queue/src/core/customer_limits.rs
+++ b/crates/bankvalve_queue/src/core/customer_limits.rs
@@ -8,9 +8,9 @@
 
 use std::collections::BTreeMap;
 
-use super::lead::LeadState;
-use super::placing::PlacedStep;
-use super::waiting::WaitingStep;
+use super::lead_state::LeadState;
+use super::placement::StepToPlace;
+use super::waiting_steps::WaitingStep;
 use super::EntryCore;
 use crate::customer::{CustomerName, RunLimit};
 use crate::guard::SiteGuard;
@@ -86,7 +86,10 @@
     /// Sums up what each customer has running, or may have.
     pub(super) fn sum_usage(&self) -> CustomerUsage {
         let mut usage = CustomerUsage::default();
-        let runs = self.seats.values().flat_map(|seat| seat.runs.values());
+        let runs = self
+            .worker_states
+            .values()
+            .flat_map(|state| state.runs.values());
         for live in runs {
             if let Some(customer) = &live.customer {
                 usage.add(customer, &live.size);
@@ -119,7 +122,7 @@
     /// fill it again and again. Once it is, only urgent steps come before the gang, so that it is not
     /// shut out for being late.
     pub(super) fn leave_out_at_limit<Rank>(&mut self, ranked: &mut Vec<(Rank, StepKey)>) {
-        if !self.limits.are_any() || !self.keeps(SiteGuard::CustomerLimit) {
+        if !self.limits.are_any() || !self.enforces(SiteGuard::CustomerLimit) {
             return;
         }
         let (limits, now) = (&self.limits, self.now);
@@ -127,10 +130,10 @@
             return;
         };
         let (waiting, usage) = (&lead.waiting, &mut lead.usage);
-        let before = &lead.held_back;
+        let before = &lead.waiting_for_limit;
         let is_kept_for = |key: &StepKey| {
             let step = waiting.get(key).filter(|step| step.gang);
-            let held = before.get(key) == Some(&LimitStand::AtLimit);
+            let held = before.get(key) == Some(&LimitStatus::AtLimit);
             held && step.is_some_and(|step| !step.is_beyond_share(now))
         };
         if before.keys().any(is_kept_for) {
@@ -144,7 +147,7 @@
                 (false, false) => 2,
             });
         }
-        let mut held_back = BTreeMap::new();
+        let mut waiting_for_limit = BTreeMap::new();
         ranked.retain(|(_, key)| {
             let Some(step) = waiting.get(key) else {
                 return true;
@@ -153,23 +156,23 @@
                 return true;
             };
             let stands = stands_of(step, &known.limit, usage);
-            if stands != LimitStand::Within {
-                held_back.insert(*key, stands);
+            if stands != LimitStatus::Within {
+                waiting_for_limit.insert(*key, stands);
             }
-            stands == LimitStand::Within
+            stands == LimitStatus::Within
         });
-        let before = std::mem::replace(&mut lead.held_back, held_back);
+        let before = std::mem::replace(&mut lead.waiting_for_limit, waiting_for_limit);
         self.tell_held_back(&before);
     }
 
     /// Logs steps that wait for their customer's limit since the last placement.
-    fn tell_held_back(&mut self, before: &BTreeMap<StepKey, LimitStand>) {
+    fn tell_held_back(&mut self, before: &BTreeMap<StepKey, LimitStatus>) {
         let Some(lead) = self.lead.as_deref() else {
             return;
         };
-        let news = lead.held_back.iter();
+        let news = lead.waiting_for_limit.iter();
         let news = news.filter(|(key, stands)| before.get(key) != Some(stands));
-        let news: Vec<(StepKey, LimitStand)> = news.map(|(key, stands)| (*key, *stands)).collect();
+        let news: Vec<(StepKey, LimitStatus)> = news.map(|(key, stands)| (*key, *stands)).collect();
         for (key, stands) in news {
             self.counters.count("placements", stands.as_str());
             if self.log_budget.may_log(self.now, "placer", stands.as_str()) {
@@ -202,7 +205,7 @@
     /// Each start passes here.
     pub(super) fn within_limit<Choice>(
         &mut self,
-        step: &PlacedStep,
+        step: &StepToPlace,
         mut choice: Vec<Choice>,
     ) -> Vec<Choice> {
         let Some(customer) = &step.customer else {
@@ -223,7 +226,7 @@
     /// Tasks of a size that a customer may start beside what it has running.
     pub(super) fn tasks_within_limit(&self, customer: &CustomerName, size: &TaskSize) -> usize {
         let known = self.limits.of(Some(customer));
-        let Some(known) = known.filter(|_| self.keeps(SiteGuard::CustomerLimit)) else {
+        let Some(known) = known.filter(|_| self.enforces(SiteGuard::CustomerLimit)) else {
             return usize::MAX;
         };
         let lead = self.lead.as_deref();
@@ -235,13 +238,16 @@
     /// Tells whether a start that is about to be sent is still within its customer's limit: that may
     /// have been lowered while the start was being kept, which takes seconds where the table is slow.
     pub(super) fn is_within_limit_now(&self, id: &WorkerId, task: TaskKey) -> bool {
-        if !self.keeps(SiteGuard::LimitOfNow) {
+        if !self.enforces(SiteGuard::LimitOfNow) {
             return true;
         }
         let Some(lead) = self.lead.as_deref() else {
             return true;
         };
-        let live = lead.seats.get(id).and_then(|seat| seat.runs.get(&task));
+        let live = lead
+            .worker_states
+            .get(id)
+            .and_then(|state| state.runs.get(&task));
         let Some(live) = live.filter(|live| live.copies == 0) else {
             return true;
         };
@@ -268,7 +274,7 @@
 
 /// How a step stands with its customer's limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum LimitStand {
+pub(super) enum LimitStatus {
     /// A task of it may start, or the whole gang.
     Within,
     /// It waits until less of its customer's runs.
@@ -277,29 +283,29 @@
     BeyondLimit,
 }
 
-impl LimitStand {
+impl LimitStatus {
     /// Word for logs and counters.
     fn as_str(self) -> &'static str {
         match self {
-            LimitStand::Within => "within_limit",
-            LimitStand::AtLimit => "at_limit",
-            LimitStand::BeyondLimit => "beyond_limit",
+            LimitStatus::Within => "within_limit",
+            LimitStatus::AtLimit => "at_limit",
+            LimitStatus::BeyondLimit => "beyond_limit",
         }
     }
 }
 
-fn stands_of(step: &WaitingStep, limit: &RunLimit, usage: &mut CustomerUsage) -> LimitStand {
+fn stands_of(step: &WaitingStep, limit: &RunLimit, usage: &mut CustomerUsage) -> LimitStatus {
     let Some(customer) = &step.customer else {
-        return LimitStand::Within;
+        return LimitStatus::Within;
     };
     let wanted = if step.gang { u64::from(step.tasks) } else { 1 };
     let size = step.size.times(wanted);
     if limit.tasks_beside(&usage.of(customer), &step.size) >= wanted {
-        LimitStand::Within
+        LimitStatus::Within
     } else if !limit.admits(&size) {
-        LimitStand::BeyondLimit
+        LimitStatus::BeyondLimit
     } else {
         usage.add(customer, &size);
-        LimitStand::AtLimit
+        LimitStatus::AtLimit
     }
 }
--- a/crates/bankvalve_queue/src/core/customer_shares.rs
+++ b/crates/bankvalve_queue/src/core/customer_shares.rs
@@ -214,10 +214,13 @@
             return;
         };
         let waiting = lead.waiting.iter();
-        let waiting = waiting.filter(|(key, _)| !lead.held_back.contains_key(key));
+        let waiting = waiting.filter(|(key, _)| !lead.waiting_for_limit.contains_key(key));
         let wanted = waiting.map(|(_, step)| step.size.millicores * u64::from(step.tasks));
         let wanted: u64 = wanted.sum();
-        let rooms = lead.seats.values().map(|seat| seat.entry.room.millicores);
+        let rooms = lead
+            .worker_states
+            .values()
+            .map(|state| state.entry.room.millicores);
         let all: u64 = rooms.sum();
         lead.shares.backlog_percent = wanted * 100 / all.max(1);
     }
--- a/crates/bankvalve_queue/src/core/denials.rs
+++ b/crates/bankvalve_queue/src/core/denials.rs
@@ -36,7 +36,7 @@
 impl EntryCore {
     /// A caller's request is denied by the configuration in force. It is told so only once the
     /// table has said, after the request came, which configuration is the newest.
-    pub(super) fn take_denial(
+    pub(super) fn handle_denial(
         &mut self,
         ticket: Ticket,
         asked: String,
@@ -51,7 +51,7 @@
             at: self.now,
             until: self.now + patience.min(LOOKUP_LIMIT),
         };
-        if !self.keeps(SiteGuard::KnownNewest) {
+        if !self.enforces(SiteGuard::KnownNewest) {
             self.deny(lookup);
             return;
         }
@@ -139,7 +139,9 @@
         let dropped = |key| table.customer_of(key) != caller.customer.as_ref();
         let key_dropped = caller.key.as_ref().is_some_and(dropped);
         match request {
-            _ if key_dropped && self.keeps(SiteGuard::LeaderKeys) => Err(RefusalReason::KeyDropped),
+            _ if key_dropped && self.enforces(SiteGuard::LeaderKeys) => {
+                Err(RefusalReason::KeyDropped)
+            }
             // A copy of one that may be taken up already must not be told that it never runs.
             CallerRequest::Submit { spec, .. } if self.book.job(spec.id).is_none() => {
                 let rule = table
--- a/crates/bankvalve_queue/src/core/election.rs
+++ b/crates/bankvalve_queue/src/core/election.rs
@@ -5,13 +5,13 @@
 use serde::{Deserialize, Serialize};
 
 use super::commit::batch_row;
-use super::lead::LeadState;
+use super::lead_state::LeadState;
 use super::round_trip::PeerEcho;
 use super::store_link::{StorePurpose, CELL_TABLE, LEAD_PART, LEDGER_TABLE};
 use super::EntryCore;
 use crate::guard::SiteGuard;
 use crate::ids::CoreTime;
-use crate::peer::{HeartbeatNews, PeerAddress};
+use crate::peer::{HeartbeatBody, PeerAddress};
 use crate::store::{RowCondition, RowKey, RowWrite, StoreOutcome, StoreRequest, StoredRow};
 
 /// Silence after which a leader is suspected: four heartbeats and the delay of a slow one.
@@ -44,7 +44,7 @@
     pub(super) epoch: u64,
     /// Version of its row; 0 if only peers told of it.
     pub(super) row_version: u64,
-    pub(super) heard_at: CoreTime,
+    pub(super) last_contact: CoreTime,
     /// Whether its process is surely gone: its port refused, or another life answers there.
     pub(super) gone: bool,
     /// Whether a later life has answered there since.
@@ -57,13 +57,13 @@
 
 impl LeaderView {
     /// A leader of which nothing else is known yet.
-    fn new(address: PeerAddress, life: u64, epoch: u64, heard_at: CoreTime) -> Self {
+    fn new(address: PeerAddress, life: u64, epoch: u64, last_contact: CoreTime) -> Self {
         Self {
             address,
             life,
             epoch,
             row_version: 0,
-            heard_at,
+            last_contact,
             gone: false,
             ended: false,
             loading: false,
@@ -75,11 +75,11 @@
 /// A peer, as far as is known.
 #[derive(Clone, Debug, Default)]
 pub(super) struct PeerView {
-    pub(super) heard_at: Option<CoreTime>,
+    pub(super) last_contact: Option<CoreTime>,
     pub(super) known_at: CoreTime,
     /// Processor that it has, in thousandths of a core.
     pub(super) strength: u64,
-    pub(super) news: HeartbeatNews,
+    pub(super) heartbeat: HeartbeatBody,
     pub(super) echo: PeerEcho,
     /// Whether it is heard at the slow pace of a leader and far members.
     pub(super) slow: bool,
@@ -117,17 +117,17 @@
     /// Tells whether nobody has led for longer than a takeover takes.
     pub(super) fn is_leaderless(&self) -> bool {
         let silence = match &self.leader {
-            Some(leader) => self.age(leader.heard_at),
+            Some(leader) => self.age(leader.last_contact),
             None => self.uptime(),
         };
         self.lead.is_none() && silence > LEADERLESS
     }
 
-    pub(super) fn leader_is_heard(&self) -> bool {
+    pub(super) fn has_leader_contact(&self) -> bool {
         let limit = SUSPECT_AFTER * 2;
         self.leader
             .as_ref()
-            .is_some_and(|leader| self.age(leader.heard_at) < limit)
+            .is_some_and(|leader| self.age(leader.last_contact) < limit)
     }
 
     pub(super) fn read_leader_row(&mut self) {
@@ -144,10 +144,10 @@
             from,
             limit: None,
         };
-        self.ask_store(purpose, request);
+        self.send_store_request(purpose, request);
     }
 
-    pub(super) fn take_leader_row(&mut self, value: &[u8], version: u64) {
+    pub(super) fn handle_leader_row(&mut self, value: &[u8], version: u64) {
         let Ok(row) = rmp_serde::from_slice::<LeaderRow>(value) else {
             self.log("election", "row_unreadable", String::new(), String::new());
             return;
@@ -161,7 +161,7 @@
         self.highest_epoch = self.highest_epoch.max(row.epoch);
         if let Some(lead) = &self.lead {
             if row.epoch > lead.epoch {
-                self.depose("a later leader's row");
+                self.step_down("a later leader's row");
             } else {
                 return;
             }
@@ -185,11 +185,11 @@
         }
         let gone = row.address == self.settings.address;
         let grace = if gone { Duration::ZERO } else { ROW_GRACE };
-        let heard_at = self.now.saturating_sub(SUSPECT_AFTER - grace);
+        let last_contact = self.now.saturating_sub(SUSPECT_AFTER - grace);
         self.follow(LeaderView {
             row_version: version,
             gone,
-            ..LeaderView::new(row.address, row.life, row.epoch, heard_at)
+            ..LeaderView::new(row.address, row.life, row.epoch, last_contact)
         });
     }
 
@@ -216,11 +216,11 @@
                 });
         }
         self.leader = Some(leader);
-        self.resend_asks();
+        self.resend_requests();
     }
 
     /// Ends the own lead without writing anything.
-    pub(super) fn depose(&mut self, why: &str) {
+    pub(super) fn step_down(&mut self, why: &str) {
         let Some(lead) = self.lead.take() else {
             return;
         };
@@ -235,7 +235,7 @@
         // read, nothing was added to it.
         if lead.loaded {
             self.book = Default::default();
-            self.stopped_holds.clear();
+            self.stopped_leases.clear();
             self.applied = 0;
         }
         self.catch_up_at = Some(self.now + Duration::from_millis(300));
@@ -247,11 +247,11 @@
         {
             self.leader = None;
         }
-        self.resend_asks();
+        self.resend_requests();
     }
 
     /// Another life at the leader's address shows that the one that led is over.
-    pub(super) fn is_gone_leader(&self, from: PeerAddress, news: &HeartbeatNews) -> bool {
+    pub(super) fn is_gone_leader(&self, from: PeerAddress, news: &HeartbeatBody) -> bool {
         self.lead.is_none()
             && self
                 .leader
@@ -259,15 +259,15 @@
                 .is_some_and(|leader| leader.address == from && leader.life != news.life)
     }
 
-    pub(super) fn lose_leader(&mut self) {
+    pub(super) fn mark_leader_gone(&mut self) {
         let old = self.now.saturating_sub(SUSPECT_AFTER);
         if let Some(leader) = self.leader.as_mut() {
-            leader.heard_at = leader.heard_at.min(old);
+            leader.last_contact = leader.last_contact.min(old);
             leader.gone = true;
         }
     }
 
-    pub(super) fn hear_leader(&mut self, from: PeerAddress, news: &HeartbeatNews) {
+    pub(super) fn note_leader_heartbeat(&mut self, from: PeerAddress, news: &HeartbeatBody) {
         let known = self.leader.as_ref().map_or(0, |leader| leader.epoch);
         if news.epoch < self.highest_epoch {
             return;
@@ -283,7 +283,7 @@
         let now = self.now;
         if let Some(leader) = self.leader.as_mut() {
             if leader.address == from {
-                leader.heard_at = now;
+                leader.last_contact = now;
                 leader.life = news.life;
                 leader.gone = false;
                 leader.ended = false;
@@ -296,7 +296,7 @@
 
     pub(super) fn run_election(&mut self) {
         if self.lead.is_some() {
-            self.consider_yield();
+            self.consider_handover();
             return;
         }
         if !self.members_known || !self.registered || self.stopping {
@@ -315,23 +315,23 @@
     }
 
     fn should_claim(&mut self) -> bool {
-        if let Some(epoch) = self.asked_to_lead {
+        if let Some(epoch) = self.handover_epoch {
             if epoch >= self.highest_epoch {
                 return true;
             }
-            self.asked_to_lead = None;
+            self.handover_epoch = None;
         }
         let silence = match &self.leader {
-            Some(leader) => self.age(leader.heard_at),
+            Some(leader) => self.age(leader.last_contact),
             None => SUSPECT_AFTER,
         };
         let epoch = self.highest_epoch;
         let gone = self.leader.as_ref().is_some_and(|leader| leader.gone);
         let others_hear = !gone
             && self.live_peers().any(|(_, peer)| {
-                peer.news.epoch >= epoch
-                    && peer.news.leader.is_some()
-                    && u128::from(peer.news.leader_age_ms) < HEARD_LATELY.as_millis()
+                peer.heartbeat.epoch >= epoch
+                    && peer.heartbeat.leader.is_some()
+                    && u128::from(peer.heartbeat.leader_age_ms) < HEARD_LATELY.as_millis()
             });
         let alone = !gone && self.live_peers().next().is_none() && !self.peers.is_empty();
         let limit = if alone { ALONE_AFTER } else { SUSPECT_AFTER };
@@ -340,13 +340,13 @@
             return false;
         }
         let since = *self.suspect_since.get_or_insert(self.now);
-        let (near, far) = self.members_before_own();
-        let held_back = if self.is_behind_near_members() {
+        let (near, far) = self.higher_ranked_members();
+        let waiting_for_limit = if self.defers_to_preferred() {
             FAR_HOLD
         } else {
             Duration::ZERO
         };
-        self.age(since) >= RANK_PAUSE * near + FAR_RANK_PAUSE * far + held_back
+        self.age(since) >= RANK_PAUSE * near + FAR_RANK_PAUSE * far + waiting_for_limit
     }
 
     fn begin_claim(&mut self) {
@@ -368,7 +368,7 @@
             key: key.clone(),
             version,
         };
-        let guarded = self.keeps(SiteGuard::CompleteBook);
+        let guarded = self.enforces(SiteGuard::CompleteBook);
         let next_batch = next_batch.filter(|_| guarded);
         let request = StoreRequest::Transact {
             conditions: std::iter::once(own_row).chain(next_batch).collect(),
@@ -381,7 +381,10 @@
             _ => self.now,
         };
         self.claim_sent = (epoch, sent_at);
-        let silence = self.leader.as_ref().map(|leader| self.age(leader.heard_at));
+        let silence = self
+            .leader
+            .as_ref()
+            .map(|leader| self.age(leader.last_contact));
         let detail = format!("on row version {version}, leader silent for {silence:?}");
         self.log("election", "claim", format!("epoch {epoch}"), detail);
         self.counters.count("elections", "claimed");
@@ -392,7 +395,7 @@
             next_at: self.now + CLAIM_PAUSE,
             complete,
         });
-        self.ask_store(StorePurpose::Claim, request);
+        self.send_store_request(StorePurpose::Claim, request);
     }
 
     /// Number of batches of the own book if a claim may require that the ledger has no more.
@@ -405,7 +408,7 @@
         self.claimed_epoch = epoch;
         let followed = self.applied > 0 || self.highest_epoch == 0;
         // A leader that goes on until the claim stands writes the ledger on.
-        let racing = self.asked_to_lead.is_some() && !self.asked_over;
+        let racing = self.handover_epoch.is_some() && !self.handover_leader_stopped;
         (first && followed && !racing && !self.catching_up).then_some(self.applied)
     }
 
@@ -437,7 +440,7 @@
 
     /// The row as it stands may also show that an earlier copy of the claim was done.
     fn lose_claim(&mut self, rows: &[StoredRow]) {
-        self.take_leader_rows(rows);
+        self.handle_leader_rows(rows);
     }
 
     /// The ledger had more than the own book: the claim is repeated, and the ledger read.
@@ -465,15 +468,15 @@
     }
 
     /// Takes the leader's row as it was read, which may show a claim whose answer was lost.
-    pub(super) fn take_leader_rows(&mut self, rows: &[StoredRow]) {
+    pub(super) fn handle_leader_rows(&mut self, rows: &[StoredRow]) {
         for row in rows.iter().filter(|row| row.key == leader_key()) {
-            self.take_leader_row(&row.value, row.version);
+            self.handle_leader_row(&row.value, row.version);
         }
     }
 
     fn begin_lead(&mut self, epoch: u64, row_version: u64) {
         let predecessor = self.leader.take();
-        let asked = self.asked_to_lead.take().is_some() && self.asked_over;
+        let asked = self.handover_epoch.take().is_some() && self.handover_leader_stopped;
         let complete = self.claim.as_ref().and_then(|claim| claim.complete);
         let complete = complete.is_some_and(|applied| applied == self.applied);
         let claimed_at = self.claim.as_ref().map_or(self.now, |claim| claim.sent_at);
@@ -491,13 +494,13 @@
         let detail =
             format!(
             "row version {row_version}, predecessor {before:?}, its holds over in {:?} at most, {}",
-            self.former_leaders.holds_over_at().saturating_sub(self.now),
+            self.former_leaders.leases_expire_at().saturating_sub(self.now),
             if self.former_leaders.are_known() { "known" } else { "assumed" }
         );
         self.log("election", "lead", format!("epoch {epoch}"), detail);
         let mut lead = LeadState::new(epoch, row_version, self.now);
         lead.confirmed_at = claimed_at;
-        lead.guess_error = self.measures.1.clone();
+        lead.estimate_error = self.measurements.1.clone();
         // The first heartbeat tells it.
         lead.loaded = complete;
         self.lead = Some(Box::new(lead));
--- a/crates/bankvalve_queue/src/core/entry_core.rs
+++ b/crates/bankvalve_queue/src/core/entry_core.rs
@@ -3,23 +3,23 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-use super::book_reads::BookReads;
-use super::callers::OpenAsk;
-use super::carriers::CarriedFor;
+use super::call_proxies::ProxyOrigin;
+use super::callers::OpenRequest;
 use super::customer_limits::CustomerLimits;
 use super::election::{LeaderView, PeerView};
+use super::follower_reads::FollowerReads;
 use super::former_leaders::FormerLeaders;
-use super::lead::LeadState;
+use super::lead_state::LeadState;
+use super::leader_absence::LeaderGap;
 use super::ledger_page::LedgerPage;
 use super::load_limit::ShareGate;
 use super::log_budget::LogBudget;
-use super::questions::{OpenQuestion, StorePatience};
-use super::seat_list::WorkerReading;
-use super::sight::UnreadyReason;
-use super::stopped_holds::StoppedHolds;
+use super::readiness::UnreadyReason;
+use super::stopped_leases::StoppedLeases;
 use super::store_link::WatchState;
+use super::store_requests::{OpenStoreRequest, StoreTimeouts};
 use super::table_watch::{TableSource, TableWatch};
-use super::without_leader::LeaderGap;
+use super::worker_entries::EntryScan;
 use crate::caller::{CallerAnswer, DenialReason, ResolvedRequest};
 use crate::decision::{DecisionLine, EntryCounters, EntryView};
 use crate::guard::SiteGuard;
@@ -29,7 +29,7 @@
 use crate::policy::PolicySwitch;
 use crate::queue_table::QueueTable;
 use crate::store::{StoreOutcome, StoreRequest};
-use crate::worker::{AdviceAnswer, AdviceAsk, WorkerAnswer, WorkerCall};
+use crate::worker::{AdviceAnswer, AdviceRequest, WorkerAnswer, WorkerCall};
 
 /// Tickets that a life has room for, as a power of two, so that an answer to an earlier life is
 /// never taken for one to this; with a life in milliseconds since 1970 they last for centuries.
@@ -191,7 +191,7 @@
         /// Number of the question.
         ticket: Ticket,
         /// The question.
-        ask: AdviceAsk,
+        ask: AdviceRequest,
     },
     /// Say something to a peer.
     Peer {
@@ -239,7 +239,7 @@
     pub(super) limits: CustomerLimits,
     pub(super) peers: BTreeMap<PeerAddress, PeerView>,
     /// The near members, as of the last heartbeat.
-    pub(super) near: Vec<PeerAddress>,
+    pub(super) preferred: Vec<PeerAddress>,
     pub(super) leader: Option<LeaderView>,
     pub(super) highest_epoch: u64,
     pub(super) registered: bool,
@@ -251,13 +251,13 @@
     /// Epoch that was claimed last, and when the first copy of that claim was sent.
     pub(super) claim_sent: (u64, CoreTime),
     pub(super) suspect_since: Option<CoreTime>,
-    pub(super) asked_to_lead: Option<u64>,
+    pub(super) handover_epoch: Option<u64>,
     /// Whether the leader that asked had stopped commanding.
-    pub(super) asked_over: bool,
+    pub(super) handover_leader_stopped: bool,
     pub(super) former_leaders: FormerLeaders,
-    pub(super) stopped_holds: StoppedHolds,
+    pub(super) stopped_leases: StoppedLeases,
     pub(super) next_heartbeat: CoreTime,
-    pub(super) next_far_heartbeat: CoreTime,
+    pub(super) next_other_heartbeat: CoreTime,
     pub(super) next_slow_heartbeat: CoreTime,
     pub(super) book: JobBook,
     pub(super) applied: u64,
@@ -269,19 +269,19 @@
     pub(super) catching_up: bool,
     pub(super) lead: Option<Box<LeadState>>,
     /// What the leader last told of workers' slowness and queues' guesses.
-    pub(super) measures: (BTreeMap<WorkerId, f64>, BTreeMap<String, f64>),
-    pub(super) asks: BTreeMap<Ticket, OpenAsk>,
-    pub(super) book_reads: BookReads,
-    pub(super) advising: BTreeMap<Ticket, (PeerAddress, Ticket)>,
+    pub(super) measurements: (BTreeMap<WorkerId, f64>, BTreeMap<String, f64>),
+    pub(super) open_requests: BTreeMap<Ticket, OpenRequest>,
+    pub(super) follower_reads: FollowerReads,
+    pub(super) proxied_advice: BTreeMap<Ticket, (PeerAddress, Ticket)>,
     /// Calls that this instance carries for the leader.
-    pub(super) carrying: BTreeMap<Ticket, CarriedFor>,
-    pub(super) store_tickets: BTreeMap<Ticket, OpenQuestion>,
-    pub(super) store_patience: StorePatience,
+    pub(super) proxied_calls: BTreeMap<Ticket, ProxyOrigin>,
+    pub(super) open_store_requests: BTreeMap<Ticket, OpenStoreRequest>,
+    pub(super) store_timeouts: StoreTimeouts,
     pub(super) cell_watch: WatchState,
     /// The writing of the own row.
     pub(super) own_row: WatchState,
     pub(super) worker_watch: WatchState,
-    pub(super) worker_reading: WorkerReading,
+    pub(super) entry_scan: EntryScan,
     /// When the last question about the workers' entries was sent, and the last that was answered.
     pub(super) worker_list_sent: CoreTime,
     pub(super) worker_list_at: Option<CoreTime>,
@@ -289,14 +289,14 @@
     pub(super) services: BTreeSet<String>,
     pub(super) probe_answered: Option<CoreTime>,
     /// When the table last answered anything.
-    pub(super) store_heard: Option<CoreTime>,
+    pub(super) store_last_contact: Option<CoreTime>,
     pub(super) next_probe: CoreTime,
     /// Since when no leader has worked, as far as is known.
     pub(super) leader_gap: LeaderGap,
     pub(super) next_ticket: Ticket,
     pub(super) stopping: bool,
     /// What was last logged of its readiness: why it was not ready, or that it was.
-    pub(super) told_unready: Option<Option<UnreadyReason>>,
+    pub(super) logged_readiness: Option<Option<UnreadyReason>>,
     pub(super) log_budget: LogBudget,
     /// Lets new jobs pass as the leader takes them on.
     pub(super) gate: ShareGate,
@@ -317,7 +317,7 @@
             tables: TableWatch::default(),
             limits: CustomerLimits::default(),
             peers: BTreeMap::new(),
-            near: Vec::new(),
+            preferred: Vec::new(),
             leader: None,
             highest_epoch: 0,
             registered: false,
@@ -327,12 +327,12 @@
             claimed_epoch: 0,
             claim_sent: (0, Duration::ZERO),
             suspect_since: None,
-            asked_to_lead: None,
-            asked_over: false,
+            handover_epoch: None,
+            handover_leader_stopped: false,
             former_leaders: FormerLeaders::default(),
-            stopped_holds: StoppedHolds::default(),
+            stopped_leases: StoppedLeases::default(),
             next_heartbeat: Duration::ZERO,
-            next_far_heartbeat: Duration::ZERO,
+            next_other_heartbeat: Duration::ZERO,
             next_slow_heartbeat: Duration::ZERO,
             book: JobBook::default(),
             applied: 0,
@@ -341,27 +341,27 @@
             ledger_page: LedgerPage::default(),
             catching_up: false,
             lead: None,
-            measures: Default::default(),
-            asks: BTreeMap::new(),
-            book_reads: BookReads::default(),
-            advising: BTreeMap::new(),
-            carrying: BTreeMap::new(),
-            store_tickets: BTreeMap::new(),
-            store_patience: StorePatience::default(),
+            measurements: Default::default(),
+            open_requests: BTreeMap::new(),
+            follower_reads: FollowerReads::default(),
+            proxied_advice: BTreeMap::new(),
+            proxied_calls: BTreeMap::new(),
+            open_store_requests: BTreeMap::new(),
+            store_timeouts: StoreTimeouts::default(),
             cell_watch: WatchState::default(),
             own_row: WatchState::default(),
             worker_watch: WatchState::default(),
-            worker_reading: WorkerReading::default(),
+            entry_scan: EntryScan::default(),
             worker_list_sent: Duration::ZERO,
             worker_list_at: None,
             services: BTreeSet::new(),
             probe_answered: None,
-            store_heard: None,
+            store_last_contact: None,
             next_probe: Duration::ZERO,
             leader_gap: LeaderGap::default(),
             next_ticket,
             stopping: false,
-            told_unready: None,
+            logged_readiness: None,
             log_budget: LogBudget::default(),
             gate: ShareGate::default(),
             counters: EntryCounters::default(),
@@ -382,19 +382,19 @@
         }
         match event {
             CoreEvent::Tick => self.tick(),
-            CoreEvent::Peer { from, message } => self.take_message(from, message),
+            CoreEvent::Peer { from, message } => self.handle_message(from, message),
             CoreEvent::PeerUnreached { peer, refused } => self.peer_unreached(peer, refused),
-            CoreEvent::Store { ticket, outcome } => self.take_store(ticket, outcome),
+            CoreEvent::Store { ticket, outcome } => self.handle_store_answer(ticket, outcome),
             CoreEvent::StoreBegins { ticket } => self.store_begins(ticket),
-            CoreEvent::Worker { ticket, answer } => self.take_worker_answer(ticket, answer),
-            CoreEvent::Advice { ticket, answer } => self.take_advice(ticket, answer),
-            CoreEvent::Caller { ticket, request } => self.take_request(ticket, request),
+            CoreEvent::Worker { ticket, answer } => self.handle_worker_answer(ticket, answer),
+            CoreEvent::Advice { ticket, answer } => self.handle_advice(ticket, answer),
+            CoreEvent::Caller { ticket, request } => self.handle_request(ticket, request),
             CoreEvent::RequestDenied {
                 ticket,
                 asked,
                 reason,
                 patience_ms,
-            } => self.take_denial(ticket, asked, reason, patience_ms),
+            } => self.handle_denial(ticket, asked, reason, patience_ms),
             CoreEvent::Stop => self.begin_stop(),
         }
         self.run_lead();
@@ -413,7 +413,7 @@
             ready: self.is_ready(),
             leading: lead.is_some(),
             loading: lead.is_some_and(|lead| !lead.loaded),
-            stopped: self.stopping && lead.is_none() && self.asks.is_empty(),
+            stopped: self.stopping && lead.is_none() && self.open_requests.is_empty(),
             jobs: self.book.len() as u64,
             waiting_tasks: lead.map_or(0, LeadState::waiting_tasks),
             live_runs: lead.map_or(0, LeadState::live_runs),
@@ -422,7 +422,7 @@
             table_age: self.tables.confirmed.map(|at| self.age(at)),
             leader_age: match &self.leader {
                 _ if lead.is_some() => Some(Duration::ZERO),
-                Some(leader) => Some(self.age(leader.heard_at)),
+                Some(leader) => Some(self.age(leader.last_contact)),
                 None => None,
             },
             ledger_batches: self.applied,
@@ -438,9 +438,9 @@
     }
 
     /// Whether so many events come to it that they had better be taken together.
-    pub fn is_crowded(&self) -> bool {
+    pub fn prefers_batches(&self) -> bool {
         let lead = self.lead.as_deref();
-        lead.is_some_and(|lead| lead.carriers.are_used())
+        lead.is_some_and(|lead| lead.proxies.are_used())
     }
 
     /// Version of the configuration in force; 0 before the first.
@@ -454,7 +454,7 @@
     }
 
     /// Gives the instance a configuration that was decoded for it.
-    pub fn give_table(&mut self, table: QueueTable, raw: Vec<u8>) -> Vec<CoreAction> {
+    pub fn install_table(&mut self, table: QueueTable, raw: Vec<u8>) -> Vec<CoreAction> {
         self.use_table(table, raw, TableSource::Peer);
         std::mem::take(&mut self.actions)
     }
@@ -474,18 +474,18 @@
     }
 
     fn tick(&mut self) {
-        self.end_forgotten_questions();
+        self.expire_store_requests();
         self.run_watches();
         self.run_membership();
         self.run_election();
         self.run_heartbeats();
-        self.run_asks();
-        self.run_book_reads();
+        self.run_open_requests();
+        self.run_follower_reads();
         self.run_following();
-        self.forget_carried();
+        self.expire_proxied_calls();
         self.run_leader_row();
         self.watch_leader();
-        self.tell_readiness();
+        self.log_readiness();
     }
 
     fn begin_stop(&mut self) {
@@ -500,12 +500,12 @@
         ticket
     }
 
-    pub(super) fn tell(&mut self, to: PeerAddress, message: PeerMessage) {
+    pub(super) fn send_message(&mut self, to: PeerAddress, message: PeerMessage) {
         self.actions.push(CoreAction::Peer { to, message });
     }
 
     /// Tells whether a guard stands.
-    pub(super) fn keeps(&self, guard: SiteGuard) -> bool {
+    pub(super) fn enforces(&self, guard: SiteGuard) -> bool {
         self.settings.broken != Some(guard)
     }
 
--- a/crates/bankvalve_queue/src/core/following.rs
+++ b/crates/bankvalve_queue/src/core/follower.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 
-use super::questions::OpenQuestion;
 use super::store_link::{StorePurpose, LEAD_PART, LEDGER_TABLE};
+use super::store_requests::OpenStoreRequest;
 use super::EntryCore;
 use crate::guard::SiteGuard;
 use crate::ids::{CoreTime, WorkerId};
@@ -26,26 +26,26 @@
 }
 
 impl EntryCore {
-    pub(super) fn take_message(&mut self, from: PeerAddress, message: PeerMessage) {
+    pub(super) fn handle_message(&mut self, from: PeerAddress, message: PeerMessage) {
         match message {
-            PeerMessage::Heartbeat(news) => self.take_heartbeat(from, news),
+            PeerMessage::Heartbeat(news) => self.handle_heartbeat(from, news),
             PeerMessage::Ask {
                 ticket,
                 table_version,
                 caller,
                 request,
             } => {
-                self.hear_of_table(from, table_version);
-                self.take_ask(from, ticket, table_version, &caller, request);
+                self.note_announced_version(from, table_version);
+                self.handle_forwarded_request(from, ticket, table_version, &caller, request);
             }
-            PeerMessage::Reply { ticket, answer } => self.take_reply(from, ticket, answer),
-            PeerMessage::MarkWanted { round } => self.tell_mark(from, round),
-            PeerMessage::Mark { round, sequence } => self.take_mark(from, round, sequence),
-            PeerMessage::Advise { ticket, ask } => self.carry_advice(from, ticket, ask),
+            PeerMessage::Reply { ticket, answer } => self.handle_reply(from, ticket, answer),
+            PeerMessage::MarkWanted { round } => self.send_read_index(from, round),
+            PeerMessage::Mark { round, sequence } => self.handle_read_index(from, round, sequence),
+            PeerMessage::Advise { ticket, ask } => self.proxy_advice(from, ticket, ask),
             PeerMessage::Advised { ticket, answer } => self.end_advice(ticket, answer),
-            PeerMessage::Relay { from, to, message } => self.take_relayed(from, to, message),
-            PeerMessage::Carry { ticket, call } => self.carry_call(from, ticket, call),
-            PeerMessage::Carried { ticket, answer } => self.take_worker_answer(ticket, answer),
+            PeerMessage::Relay { from, to, message } => self.handle_relayed(from, to, message),
+            PeerMessage::Carry { ticket, call } => self.proxy_call(from, ticket, call),
+            PeerMessage::Carried { ticket, answer } => self.handle_worker_answer(ticket, answer),
             PeerMessage::Committed {
                 epoch,
                 sequence,
@@ -56,35 +56,35 @@
                 self.pass_committed(epoch, sequence, batch, onward);
             }
             PeerMessage::Measured { workers, queues } => self.take_measures(workers, queues),
-            PeerMessage::TakeOver { epoch, over } => self.take_over(from, epoch, over),
-            PeerMessage::TableWanted { version } => self.take_table_wanted(from, version),
+            PeerMessage::TakeOver { epoch, over } => self.handle_take_over(from, epoch, over),
+            PeerMessage::TableWanted { version } => self.handle_table_wanted(from, version),
             PeerMessage::TableOffer { version, bytes } => {
-                self.take_table_offer(from, version, bytes);
+                self.handle_table_offer(from, version, bytes);
             }
-            PeerMessage::TableTaken => self.take_table_taken(from),
-            PeerMessage::TableRefused => self.lose_giver(from),
-            PeerMessage::Table { raw } => self.take_peer_table(raw),
+            PeerMessage::TableTaken => self.handle_table_taken(from),
+            PeerMessage::TableRefused => self.drop_source(from),
+            PeerMessage::Table { raw } => self.handle_peer_table(raw),
         }
     }
 
     /// Tells peers what was measured of workers and queues, every now and then.
-    pub(super) fn tell_measures(&mut self) {
+    pub(super) fn send_measurements(&mut self) {
         let now = self.now;
         let Some(lead) = self.lead.as_deref_mut() else {
             return;
         };
-        if now < lead.next_measures {
+        if now < lead.next_measurements {
             return;
         }
-        lead.next_measures = now + MEASURES_EVERY;
+        lead.next_measurements = now + MEASURES_EVERY;
         let workers: Vec<(WorkerId, f64)> = lead
-            .seats
+            .worker_states
             .iter()
-            .filter(|(_, seat)| seat.slowness != 0.0)
-            .map(|(id, seat)| (id.clone(), seat.slowness))
+            .filter(|(_, state)| state.slowness != 0.0)
+            .map(|(id, state)| (id.clone(), state.slowness))
             .collect();
         let queues: Vec<(String, f64)> = lead
-            .guess_error
+            .estimate_error
             .iter()
             .map(|(queue, error)| (queue.clone(), *error))
             .collect();
@@ -96,13 +96,13 @@
                 workers: workers.clone(),
                 queues: queues.clone(),
             };
-            self.tell(peer, message);
+            self.send_message(peer, message);
         }
     }
 
     fn take_measures(&mut self, workers: Vec<(WorkerId, f64)>, queues: Vec<(String, f64)>) {
         if self.lead.is_none() {
-            self.measures = (workers.into_iter().collect(), queues.into_iter().collect());
+            self.measurements = (workers.into_iter().collect(), queues.into_iter().collect());
         }
     }
 
@@ -136,7 +136,7 @@
             batch,
             onward,
         };
-        self.tell(next, message);
+        self.send_message(next, message);
     }
 
     /// Applies the next batch of the ledger to the book.
@@ -166,9 +166,10 @@
 
     /// Tells whether a page of the ledger is on its way.
     pub(super) fn is_reading_ledger(&self) -> bool {
-        let reads =
-            |question: &OpenQuestion| matches!(question.purpose, StorePurpose::ReadLedger { .. });
-        self.store_tickets.values().any(reads)
+        let reads = |question: &OpenStoreRequest| {
+            matches!(question.purpose, StorePurpose::ReadLedger { .. })
+        };
+        self.open_store_requests.values().any(reads)
     }
 
     /// Asks for the next page of the ledger, unless one is on its way, whatever it was asked for:
@@ -186,10 +187,10 @@
             limit: Some(self.ledger_page.rows),
         };
         self.ledger_page.asked_at = self.now;
-        let latency = self.store_patience.latency;
-        let latency = latency.filter(|_| self.keeps(SiteGuard::LedgerProgress));
+        let latency = self.store_timeouts.latency;
+        let latency = latency.filter(|_| self.enforces(SiteGuard::LedgerProgress));
         let time = self.ledger_page.time_to_wait(latency.unwrap_or_default());
-        self.ask_store_within(StorePurpose::ReadLedger { from }, request, time);
+        self.send_store_request_within(StorePurpose::ReadLedger { from }, request, time);
     }
 
     /// Takes a page of the ledger, and goes on with the next unless the book is whole.
@@ -203,7 +204,7 @@
         self.note_page(asked_at, &outcome);
         let StoreOutcome::Rows { rows, more, .. } = outcome else {
             let soon = self.now + LOAD_PAUSE;
-            let heard = self.leader_is_heard();
+            let heard = self.has_leader_contact();
             match self.lead.as_deref_mut() {
                 Some(lead) => lead.load_at = Some(soon),
                 // It may have to lead next.
@@ -223,7 +224,7 @@
         } else if self.lead.is_some() {
             // Requests wait at the others until they are told.
             self.next_heartbeat = self.now;
-            self.next_far_heartbeat = self.now;
+            self.next_other_heartbeat = self.now;
             self.next_slow_heartbeat = self.now;
             self.end_loading();
         } else {
@@ -242,7 +243,7 @@
     /// Notes how a page of the ledger came, and logs it: a thin link takes long for a large one.
     fn note_page(&mut self, asked_at: CoreTime, outcome: &StoreOutcome) {
         let took = self.age(asked_at);
-        let latency = self.store_patience.usual();
+        let latency = self.store_timeouts.usual();
         let rows = match outcome {
             StoreOutcome::Rows { rows, .. } => {
                 let full = rows.len() as u32 >= self.ledger_page.rows;
@@ -252,7 +253,7 @@
             // The table did nothing: it says nothing of the link.
             StoreOutcome::Busy => None,
             _ => {
-                if self.keeps(SiteGuard::LedgerProgress) {
+                if self.enforces(SiteGuard::LedgerProgress) {
                     self.ledger_page.note_missed(latency);
                 }
                 None
@@ -269,7 +270,7 @@
     /// Takes the leader's row that was read while following.
     pub(super) fn end_leader_row(&mut self, outcome: &StoreOutcome) {
         match outcome {
-            StoreOutcome::Rows { rows, .. } => self.take_leader_rows(rows),
+            StoreOutcome::Rows { rows, .. } => self.handle_leader_rows(rows),
             _ if self.leader.is_none() => self.read_leader_later(),
             _ => {}
         }
--- a/crates/bankvalve_queue/src/core/book_reads.rs
+++ b/crates/bankvalve_queue/src/core/follower_reads.rs
@@ -46,7 +46,7 @@
 
 /// Questions that are answered from the own book.
 #[derive(Debug, Default)]
-pub(super) struct BookReads {
+pub(super) struct FollowerReads {
     gathered: Vec<BookRead>,
     round: Option<ReadRound>,
     rounds: u64,
@@ -55,7 +55,7 @@
 impl EntryCore {
     /// Takes up a question about a job that the own book has, if this instance follows closely;
     /// returns the leader that is asked for it.
-    pub(super) fn read_own_book(
+    pub(super) fn read_local_book(
         &mut self,
         origin: Origin,
         job: JobId,
@@ -67,12 +67,12 @@
         if !self.may_access(record, caller) {
             return None;
         }
-        if self.book_reads.gathered.len() >= GATHERED_LIMIT {
+        if self.follower_reads.gathered.len() >= GATHERED_LIMIT {
             return None;
         }
         let read = BookRead { origin, job };
-        if self.keeps(SiteGuard::ReadMark) {
-            self.book_reads.gathered.push(read);
+        if self.enforces(SiteGuard::ReadMark) {
+            self.follower_reads.gathered.push(read);
             self.begin_read_round();
         } else {
             self.answer_read(read);
@@ -83,7 +83,7 @@
     /// The leader, if this instance hears it and has read all batches before those that it sends.
     fn leader_followed(&self) -> Option<PeerAddress> {
         let leader = self.leader.as_ref().filter(|_| self.lead.is_none())?;
-        let heard = self.leader_is_heard() && !leader.loading;
+        let heard = self.has_leader_contact() && !leader.loading;
         let whole = self.applied > 0 && !self.catching_up && self.catch_up_at.is_none();
         (heard && whole && leader.address != self.settings.address).then_some(leader.address)
     }
@@ -92,7 +92,7 @@
         let Some(leader) = self.leader_followed() else {
             return;
         };
-        let reads = &mut self.book_reads;
+        let reads = &mut self.follower_reads;
         if reads.round.is_some() || reads.gathered.is_empty() {
             return;
         }
@@ -106,21 +106,21 @@
             mark: None,
             reads: std::mem::take(&mut reads.gathered),
         });
-        self.tell(leader, PeerMessage::MarkWanted { round: number });
+        self.send_message(leader, PeerMessage::MarkWanted { round: number });
     }
 
     /// Tells a follower up to where the ledger is kept.
-    pub(super) fn tell_mark(&mut self, to: PeerAddress, round: u64) {
+    pub(super) fn send_read_index(&mut self, to: PeerAddress, round: u64) {
         let Some(lead) = self.lead.as_deref().filter(|lead| lead.loaded) else {
             return;
         };
         let sequence = lead.sequence;
-        self.tell(to, PeerMessage::Mark { round, sequence });
+        self.send_message(to, PeerMessage::Mark { round, sequence });
     }
 
     /// The leader has told up to where the ledger was kept when it was asked.
-    pub(super) fn take_mark(&mut self, from: PeerAddress, number: u64, sequence: u64) {
-        let round = self.book_reads.round.as_mut();
+    pub(super) fn handle_read_index(&mut self, from: PeerAddress, number: u64, sequence: u64) {
+        let round = self.follower_reads.round.as_mut();
         let asked = |round: &&mut ReadRound| round.number == number && round.leader == from;
         if let Some(round) = round.filter(asked) {
             round.mark = Some(sequence);
@@ -131,7 +131,7 @@
     /// Answers the questions of a round once the own book is as far, and begins the next.
     pub(super) fn end_read_round(&mut self) {
         let reached = |round: &mut ReadRound| round.mark.is_some_and(|mark| self.applied >= mark);
-        if let Some(round) = self.book_reads.round.take_if(reached) {
+        if let Some(round) = self.follower_reads.round.take_if(reached) {
             for read in round.reads {
                 self.answer_read(read);
             }
@@ -140,17 +140,17 @@
     }
 
     /// Asks the leader once more of whom nothing came, and gives up a round that comes to no end.
-    pub(super) fn run_book_reads(&mut self) {
+    pub(super) fn run_follower_reads(&mut self) {
         let now = self.now;
         let follows = self.leader_followed();
-        let way = self.way_to_leader();
+        let way = self.round_trip_to_leader();
         let over = |round: &mut ReadRound| {
             let late = now.saturating_sub(round.begun_at) >= ROUND_TIME + way;
             late || follows != Some(round.leader)
         };
-        let round = self.book_reads.round.take_if(over);
+        let round = self.follower_reads.round.take_if(over);
         if round.is_some() || follows.is_none() {
-            let gathered = std::mem::take(&mut self.book_reads.gathered);
+            let gathered = std::mem::take(&mut self.follower_reads.gathered);
             let reads = round.into_iter().flat_map(|round| round.reads);
             self.give_up_reads(reads.chain(gathered).collect());
         }
@@ -158,10 +158,10 @@
         let unheard = |round: &&mut ReadRound| {
             round.mark.is_none() && now.saturating_sub(round.sent_at) >= pause
         };
-        if let Some(round) = self.book_reads.round.as_mut().filter(unheard) {
+        if let Some(round) = self.follower_reads.round.as_mut().filter(unheard) {
             round.sent_at = now;
             let (leader, number) = (round.leader, round.number);
-            self.tell(leader, PeerMessage::MarkWanted { round: number });
+            self.send_message(leader, PeerMessage::MarkWanted { round: number });
         }
         self.end_read_round();
     }
@@ -171,7 +171,7 @@
         for read in reads {
             self.counters.count("retries", "book_read");
             if let Origin::Own(ticket) = read.origin {
-                self.end_reading(ticket);
+                self.request_leader_instead(ticket);
             }
         }
     }
--- a/crates/bankvalve_queue/src/core/former_leaders.rs
+++ b/crates/bankvalve_queue/src/core/former_leaders.rs
@@ -4,7 +4,7 @@
 //! It has not seen the requests for these leases, so its assumptions rely on two rules that every leader
 //! follows:
 //!
-//! - *Confirmed leadership:* normally, a lease that it requests ends [`HOLD`] after the last time at which
+//! - *Confirmed leadership:* normally, a lease that it requests ends [`LEASE_DURATION`] after the last time at which
 //!   the table is known to have had its row. An instance that claims the row does so after that time.
 //! - *Mutual contact:* while the table is unavailable to all instances, it requests longer leases, but only
 //!   as long as each peer that was recently in mutual contact still receives its heartbeats. An instance that
@@ -18,11 +18,11 @@
 use std::time::Duration;
 
 use super::election::LeaderView;
-use super::holds::{HOLD, SLOW_CLOCK_FACTOR, UNCONFIRMED_LIMIT};
+use super::lease_renewal::{LEASE_DURATION, SLOW_CLOCK_FACTOR, UNCONFIRMED_LIMIT};
 use super::EntryCore;
 use crate::guard::SiteGuard;
 use crate::ids::CoreTime;
-use crate::peer::{HeartbeatNews, PeerAddress};
+use crate::peer::{HeartbeatBody, PeerAddress};
 
 /// Age up to which a heartbeat that a peer has received shows that the peer is in contact: three heartbeat
 /// intervals of a non-preferred member, the round trip, and a slow turn of the event loop.
@@ -98,7 +98,7 @@
     }
 
     /// Returns when all leases that former leaders requested have expired.
-    pub(super) fn holds_over_at(&self) -> CoreTime {
+    pub(super) fn leases_expire_at(&self) -> CoreTime {
         let over = |former: &FormerLeader| {
             former.stops_by + former.hold.mul_f64(SLOW_CLOCK_FACTOR) + ORDER_SLACK
         };
@@ -107,7 +107,7 @@
 
     /// Returns the longest time for which a lease of any former leader lasts. A worker that has accepted a
     /// later token accepts no more leases from them, so theirs expire within this time.
-    pub(super) fn longest_hold(&self) -> Duration {
+    pub(super) fn longest_lease(&self) -> Duration {
         let holds = self.leaders.iter().map(|former| former.hold);
         holds.max().unwrap_or_default().mul_f64(SLOW_CLOCK_FACTOR) + ORDER_SLACK
     }
@@ -129,7 +129,7 @@
     pub(super) fn note_heartbeat(
         &mut self,
         from: PeerAddress,
-        news: &HeartbeatNews,
+        news: &HeartbeatBody,
         now: CoreTime,
     ) {
         for former in self
@@ -153,8 +153,8 @@
 
 impl EntryCore {
     /// Returns the longest lease that is requested from workers.
-    pub(super) fn hold_time(&self) -> Duration {
-        HOLD.min(self.settings.hold_limit)
+    pub(super) fn lease_duration(&self) -> Duration {
+        LEASE_DURATION.min(self.settings.hold_limit)
     }
 
     /// Records that an epoch is known.
@@ -166,7 +166,7 @@
     /// Records that another instance or this one has succeeded `old` as leader.
     pub(super) fn note_former_leader(&mut self, old: &LeaderView) {
         let now = self.now;
-        let known = self.keeps(SiteGuard::KnownHolds);
+        let known = self.enforces(SiteGuard::KnownHolds);
         let heard = self.in_touch_until(old).filter(|_| known);
         let (stops_by, known) = match (self.has_ended(old), heard) {
             (true, _) => (now, true),
@@ -181,10 +181,10 @@
     /// address.
     fn told_hold(&self, old: &LeaderView) -> Option<Duration> {
         if old.address == self.settings.address {
-            return Some(self.hold_time());
+            return Some(self.lease_duration());
         }
-        let told = self.peers.get(&old.address)?.news.hold_ms;
-        (told > 0 && self.keeps(SiteGuard::KnownHolds)).then(|| Duration::from_millis(told))
+        let told = self.peers.get(&old.address)?.heartbeat.hold_ms;
+        (told > 0 && self.enforces(SiteGuard::KnownHolds)).then(|| Duration::from_millis(told))
     }
 
     /// Finds former leaders whose end is unknown but which are in contact with no peer, according to the
@@ -192,11 +192,11 @@
     ///
     /// After a restart of all instances, none of them was in contact with the leader. But only members can be
     /// in contact with it: if all other members are live and none receives its heartbeats, no peer is.
-    pub(super) fn note_unheard_leaders(&mut self) {
-        if self.former_leaders.are_known() || !self.keeps(SiteGuard::KnownHolds) {
+    pub(super) fn note_unreachable_leaders(&mut self) {
+        if self.former_leaders.are_known() || !self.enforces(SiteGuard::KnownHolds) {
             return;
         }
-        let (now, own) = (self.now, self.hold_time());
+        let (now, own) = (self.now, self.lease_duration());
         let mut leaders = std::mem::take(&mut self.former_leaders.leaders);
         for former in leaders.iter_mut().filter(|former| !former.known) {
             if self.nobody_hears(former) {
@@ -221,8 +221,8 @@
         named
             && silent
             && others.all(|(_, peer)| {
-                let age = Duration::from_millis(peer.news.leader_age_ms);
-                let hears = peer.news.leader == Some(former.address) && age < IN_TOUCH;
+                let age = Duration::from_millis(peer.heartbeat.leader_age_ms);
+                let hears = peer.heartbeat.leader == Some(former.address) && age < IN_TOUCH;
                 peer.is_live(self.now) && !hears
             })
     }
@@ -263,19 +263,19 @@
     fn in_touch_until(&self, old: &LeaderView) -> Option<CoreTime> {
         // On a large site, a leader requires this of preferred members only: the others hear from it too
         // rarely.
-        let counted = !self.has_many_members() || self.near.contains(&self.settings.address);
+        let counted = !self.has_many_members() || self.preferred.contains(&self.settings.address);
         let peer = self.peers.get(&old.address).filter(|_| counted)?;
         let lately = |at: &CoreTime| self.age(*at) < TOUCH_RELIED_ON;
         let mutual = peer.echo.is_mutual() && peer.echo.contact().as_ref().is_some_and(lately);
-        let same_life = peer.news.life == old.life;
+        let same_life = peer.heartbeat.life == old.life;
         peer.echo
-            .heard_at()
+            .last_contact()
             .filter(|at| mutual && same_life && lately(at))
     }
 
     /// Returns the latest time until which this leader may request leases.
-    pub(super) fn hold_bound(&self) -> CoreTime {
-        let hold = self.hold_time();
+    pub(super) fn lease_bound(&self) -> CoreTime {
+        let hold = self.lease_duration();
         let Some(lead) = self.lead.as_deref() else {
             return self.now;
         };
@@ -283,7 +283,8 @@
         // Scans the peers only if that can make a difference, because this runs for each poll and start.
         let fresh = self.age(lead.confirmed_at) < CERTAIN_LATELY;
         if !fresh
-            && (self.all_are_in_touch(lead.confirmed_at) || !self.keeps(SiteGuard::LeaderInTouch))
+            && (self.all_are_in_touch(lead.confirmed_at)
+                || !self.enforces(SiteGuard::LeaderInTouch))
         {
             self.now + hold
         } else {
@@ -310,7 +311,7 @@
     fn all_are_in_touch(&self, certain_at: CoreTime) -> bool {
         let since = certain_at.saturating_sub(TOUCH_MEMORY);
         let mut contacts = self.peers.iter().filter_map(|(address, peer)| {
-            let relies = !self.is_slow_pair(*address) && !peer.news.stopping;
+            let relies = !self.has_slow_heartbeat(*address) && !peer.heartbeat.stopping;
             peer.echo.contact().filter(|at| relies && *at >= since)
         });
         let Some(first) = contacts.next() else {
--- a/crates/bankvalve_queue/src/core/yielding.rs
+++ b/crates/bankvalve_queue/src/core/handover.rs
@@ -51,24 +51,24 @@
             self.probe_answered = Some(self.now);
             // The leader that asked for it should not wait for the usual heartbeat.
             self.next_heartbeat = self.now;
-            self.take_leader_rows(rows);
+            self.handle_leader_rows(rows);
         }
     }
 
     /// Lets a peer lead: at a planned stop, or if the table answers it and not us.
-    pub(super) fn consider_yield(&mut self) {
+    pub(super) fn consider_handover(&mut self) {
         let now = self.now;
         let stopping = self.stopping;
         let Some(lead) = self.lead.as_deref_mut() else {
             return;
         };
         // A table that answers anything is there, however slow it is with the rest.
-        let heard = self.store_heard.unwrap_or_default();
+        let heard = self.store_last_contact.unwrap_or_default();
         let unanswered = lead
-            .asked_since
+            .unanswered_since
             .map_or(Duration::ZERO, |at| now.saturating_sub(at.max(heard)));
-        let turned_away = lead.away_since.is_some();
-        let usual = self.store_patience.usual();
+        let turned_away = lead.unavailable_since.is_some();
+        let usual = self.store_timeouts.usual();
         let silent = unanswered > TROUBLE_AFTER.max(usual * TROUBLE_FACTOR);
         if !turned_away && !silent {
             lead.trouble_since = None;
@@ -77,7 +77,7 @@
             self.next_heartbeat = now;
         }
         let handing = lead
-            .handed_at
+            .handover_sent_at
             .is_some_and(|at| now.saturating_sub(at) < HAND_OVER_LIMIT);
         if handing {
             return;
@@ -104,12 +104,12 @@
         let own_book = self.applied;
         let grace_over = trouble.is_some_and(|at| now.saturating_sub(at) > BEHIND_GRACE);
         let reaches = |peer: &PeerView| {
-            let probed = peer.news.probe_age_ms.map(Duration::from_millis);
+            let probed = peer.heartbeat.probe_age_ms.map(Duration::from_millis);
             let answered = trouble
                 .zip(probed)
                 .is_some_and(|(since, probed)| probed < now.saturating_sub(since));
             let ready = stop_due || grace_over || is_up_to_date(peer, own_book);
-            !peer.news.stopping && (stop_due || answered) && ready
+            !peer.heartbeat.stopping && (stop_due || answered) && ready
         };
         let why = if stop_due {
             "planned stop"
@@ -123,8 +123,8 @@
     fn yield_to_whole_book(&mut self) {
         let own_book = self.applied;
         let suits = |peer: &PeerView| {
-            let ahead = peer.news.applied > own_book + BATCHES_ON_THEIR_WAY;
-            ahead && reaches_table(peer) && !peer.news.stopping
+            let ahead = peer.heartbeat.applied > own_book + BATCHES_ON_THEIR_WAY;
+            ahead && reaches_table(peer) && !peer.heartbeat.stopping
         };
         self.yield_to_first("the ledger is read too slowly", false, suits);
     }
@@ -143,7 +143,7 @@
         let least = self.settings.strength * MUCH_STRONGER_PERCENT / 100;
         let own_book = self.applied;
         let suits = |peer: &PeerView| {
-            let news = &peer.news;
+            let news = &peer.heartbeat;
             let follows = news.epoch == epoch && !news.stopping;
             peer.strength >= least
                 && reaches_table(peer)
@@ -174,9 +174,9 @@
         if gently && self.begin_hand_over(heir) {
             return;
         }
-        self.depose(why);
+        self.step_down(why);
         let over = true;
-        self.tell(heir, PeerMessage::TakeOver { epoch, over });
+        self.send_message(heir, PeerMessage::TakeOver { epoch, over });
     }
 
     /// Asks a peer to lead and goes on until its claim stands; not twice.
@@ -186,16 +186,16 @@
         let Some(lead) = self.lead.as_deref_mut() else {
             return false;
         };
-        if lead.handed_at.is_some() {
+        if lead.handover_sent_at.is_some() {
             return false;
         }
-        lead.handed_at = Some(now);
+        lead.handover_sent_at = Some(now);
         let over = false;
-        self.tell(heir, PeerMessage::TakeOver { epoch, over });
+        self.send_message(heir, PeerMessage::TakeOver { epoch, over });
         true
     }
 
-    pub(super) fn take_over(&mut self, from: PeerAddress, epoch: u64, over: bool) {
+    pub(super) fn handle_take_over(&mut self, from: PeerAddress, epoch: u64, over: bool) {
         if epoch < self.highest_epoch || self.lead.is_some() || self.stopping {
             return;
         }
@@ -205,8 +205,8 @@
             from.to_string(),
             format!("epoch {epoch}"),
         );
-        self.asked_to_lead = Some(epoch);
-        self.asked_over = over;
+        self.handover_epoch = Some(epoch);
+        self.handover_leader_stopped = over;
         self.claim = None;
         self.run_election();
     }
@@ -214,11 +214,11 @@
 
 /// Tells whether the table has answered a peer lately.
 pub(super) fn reaches_table(peer: &PeerView) -> bool {
-    let age = peer.news.store_age_ms.map(Duration::from_millis);
+    let age = peer.heartbeat.store_age_ms.map(Duration::from_millis);
     age.is_some_and(|age| age < REACHES_TABLE)
 }
 
 /// Tells whether a peer's book lacks no more batches than may be on their way.
 fn is_up_to_date(peer: &PeerView, own_book: u64) -> bool {
-    peer.news.applied + BATCHES_ON_THEIR_WAY >= own_book
+    peer.heartbeat.applied + BATCHES_ON_THEIR_WAY >= own_book
 }
--- a/crates/bankvalve_queue/src/core/hubs.rs
+++ b/crates/bankvalve_queue/src/core/hubs.rs
@@ -37,18 +37,18 @@
     }
 
     /// Tells whether this member hears the leader at the slow pace, and of it through hubs.
-    pub(super) fn is_far_of_many(&self) -> bool {
-        self.has_many_members() && !self.near.contains(&self.settings.address)
+    pub(super) fn is_behind_hubs(&self) -> bool {
+        self.has_many_members() && !self.preferred.contains(&self.settings.address)
     }
 
     /// Says something to a member that may be far, through a hub if there is one.
-    pub(super) fn tell_through_hub(&mut self, to: PeerAddress, message: PeerMessage) {
+    pub(super) fn send_via_hub(&mut self, to: PeerAddress, message: PeerMessage) {
         match self.hub_between(to) {
-            None => self.tell(to, message),
+            None => self.send_message(to, message),
             Some(hub) => {
                 let from = self.settings.address;
                 let message = Box::new(message);
-                self.tell(hub, PeerMessage::Relay { from, to, message });
+                self.send_message(hub, PeerMessage::Relay { from, to, message });
             }
         }
     }
@@ -59,49 +59,52 @@
             return None;
         }
         let own = self.settings.address;
-        let near = &self.near;
+        let preferred = &self.preferred;
         let leads = self.lead.is_some();
         let far = if leads { to } else { own };
-        if near.contains(&far) {
+        if preferred.contains(&far) {
             return None;
         }
         let fit = |hub: &PeerAddress| {
             let peer = self.peers.get(hub);
             let live = peer.is_some_and(|peer| {
-                let heard = peer.heard_at.is_some_and(|at| self.age(at) < HUB_HEARD);
-                heard && !peer.news.stopping
+                let heard = peer.last_contact.is_some_and(|at| self.age(at) < HUB_HEARD);
+                heard && !peer.heartbeat.stopping
             });
             *hub != to && *hub != own && live
         };
         let weight = |hub: &PeerAddress| choice_weight(*hub, far);
-        near.iter().copied().filter(fit).max_by_key(weight)
+        preferred.iter().copied().filter(fit).max_by_key(weight)
     }
 
     /// Tells whether this near member is one of those that tell a far one of the leader.
     pub(super) fn is_hub_of(&self, far: PeerAddress) -> bool {
         let own = self.settings.address;
-        if !self.has_many_members() || !self.near.contains(&own) || self.near.contains(&far) {
+        if !self.has_many_members()
+            || !self.preferred.contains(&own)
+            || self.preferred.contains(&far)
+        {
             return false;
         }
         let leader = self.leader.as_ref().map(|leader| leader.address);
         let own_weight = choice_weight(own, far);
-        let others = self.near.iter().filter(|hub| Some(**hub) != leader);
+        let others = self.preferred.iter().filter(|hub| Some(**hub) != leader);
         let before = others.filter(|hub| choice_weight(**hub, far) > own_weight);
         before.count() < HUBS_OF_ONE
     }
 
     /// Takes a message that came through a hub, or passes it on.
-    pub(super) fn take_relayed(
+    pub(super) fn handle_relayed(
         &mut self,
         from: PeerAddress,
         to: PeerAddress,
         message: Box<PeerMessage>,
     ) {
         if to == self.settings.address {
-            self.take_message(from, *message);
+            self.handle_message(from, *message);
         } else if !self.answers_from_book(from, &message) {
             self.counters.count("calls", "relayed");
-            self.tell(to, PeerMessage::Relay { from, to, message });
+            self.send_message(to, PeerMessage::Relay { from, to, message });
         }
     }
 
@@ -119,12 +122,12 @@
         let CallerRequest::Status { job } = request else {
             return false;
         };
-        if let Some(answer) = self.kept_end(*job, caller) {
+        if let Some(answer) = self.committed_outcome(*job, caller) {
             let (ticket, answer) = (*ticket, Some(answer));
-            self.tell(from, PeerMessage::Reply { ticket, answer });
+            self.send_message(from, PeerMessage::Reply { ticket, answer });
             return true;
         }
         let origin = Origin::Peer(from, *ticket);
-        self.read_own_book(origin, *job, caller).is_some()
+        self.read_local_book(origin, *job, caller).is_some()
     }
 }
--- a/crates/bankvalve_queue/src/core/incarnation.rs
+++ b/crates/bankvalve_queue/src/core/incarnation.rs
@@ -1,7 +1,7 @@
 //! Incarnations: the successive processes of a worker under one id.
 //!
 //! A worker may restart under its id. The new process runs nothing, has seen no fencing token, numbers its
-//! ends from one and has another clock. So everything that a leader knows about a worker, its [`Seat`],
+//! ends from one and has another clock. So everything that a leader knows about a worker, its [`WorkerState`],
 //! belongs to one process and is replaced with it. References to a process from elsewhere contain its
 //! [`Incarnation`] instead of the worker's id.
 //!
@@ -17,7 +17,7 @@
 use std::collections::BTreeSet;
 
 use super::live_run::{LiveRun, RunPhase};
-use super::seat::{LifeEnd, Seat};
+use super::worker_state::{ProcessEnd, WorkerState};
 use super::EntryCore;
 use crate::guard::SiteGuard;
 use crate::ids::{CoreTime, RunId, TaskKey, WorkerId};
@@ -43,12 +43,12 @@
         report: &HoldReport,
         clock_ms: Option<u64>,
     ) -> bool {
-        let Some(seat) = self.lead_seat(id) else {
+        let Some(state) = self.worker_state_mut(id) else {
             return false;
         };
-        let before = seat.started;
-        if !seat.proved {
-            seat.started = report.started;
+        let before = state.started;
+        if !state.token_accepted {
+            state.started = report.started;
         } else if before != report.started {
             if report.started.is_none() {
                 self.counters.count("workers", "process_not_told");
@@ -75,36 +75,40 @@
         let now = self.now;
         let hold_limit = self.settings.hold_limit;
         let moved = self.take_moved_runs(id, sent_at, report);
-        if self.lead_seat(id).is_some_and(|seat| !seat.over) {
-            self.give_up_seat(id, LifeEnd::Restarted);
+        if self
+            .worker_state_mut(id)
+            .is_some_and(|state| !state.declared_lost)
+        {
+            self.declare_worker_lost(id, ProcessEnd::Restarted);
         }
         self.drop_permits_of(id);
-        let own_numbers = self.keeps(SiteGuard::OwnNumbers);
-        let own_clock = self.keeps(SiteGuard::OwnClock);
+        let own_numbers = self.enforces(SiteGuard::OwnNumbers);
+        let own_clock = self.enforces(SiteGuard::OwnClock);
         let Some(lead) = self.lead.as_deref_mut() else {
             return;
         };
-        let Some(before) = lead.seats.get(id) else {
+        let Some(before) = lead.worker_states.get(id) else {
             return;
         };
-        let mut seat = Seat::restarted(before, report.started, now);
+        let mut state = WorkerState::restarted(before, report.started, now);
         if !own_numbers {
-            (seat.seen, seat.kept) = (before.seen, before.kept);
+            (state.last_end_seen, state.last_end_committed) =
+                (before.last_end_seen, before.last_end_committed);
         }
         // A deadline by the old clock may be far in the future on the new one: the worker limits it to this.
         let held = clock_ms.map(|clock| clock + hold_limit.as_millis() as u64);
-        seat.granted_until = match own_clock {
+        state.lease_until = match own_clock {
             true => held.unwrap_or(0),
-            false => before.granted_until,
+            false => before.lease_until,
         };
         for (task, live) in moved {
             if live.phase == (RunPhase::Stopping { confirmed: None }) {
                 lead.have_order_due(now, id, task);
             }
-            seat.add_run(task, live);
+            state.add_run(task, live);
         }
-        lead.seats.insert(id.clone(), seat);
-        lead.stale = true;
+        lead.worker_states.insert(id.clone(), state);
+        lead.placement_due = true;
     }
 
     /// Removes and returns the runs of a worker that its next process has or may still start.
@@ -118,33 +122,36 @@
         let running = report.running.iter().map(|run| (run.task, run.run));
         let ended = report.ended.iter().map(|end| (end.task, end.run));
         let told: BTreeSet<(TaskKey, RunId)> = running.chain(ended).collect();
-        let loss = self.loss_of(id, LifeEnd::Restarted);
-        let seat = self.lead.as_deref().and_then(|lead| lead.seats.get(id));
-        let (Some(loss), Some(seat)) = (loss, seat) else {
+        let loss = self.loss_of(id, ProcessEnd::Restarted);
+        let state = self
+            .lead
+            .as_deref()
+            .and_then(|lead| lead.worker_states.get(id));
+        let (Some(loss), Some(state)) = (loss, state) else {
             return Vec::new();
         };
-        let moved = seat.runs.iter().filter_map(|(task, live)| {
+        let moved = state.runs.iter().filter_map(|(task, live)| {
             if told.contains(&(*task, live.run)) {
                 return Some((*task, live.clone()));
             }
-            let how = || self.end_with_worker(seat, &loss, task, live);
+            let how = || self.end_with_worker(state, &loss, task, live);
             if live.may_arrive_late() {
                 return Some((*task, live.clone().stopped_after(how(), now)));
             }
             // The list may be older than the run's start. The next one shows which process has started it.
             let since_asked = live.is_running_since(sent_at);
-            since_asked.then(|| (*task, live.clone().or_ended_as(how())))
+            since_asked.then(|| (*task, live.clone().with_end_if_unlisted(how())))
         });
         let moved: Vec<(TaskKey, LiveRun)> = moved.collect();
-        if let Some(seat) = self.lead_seat(id) {
+        if let Some(state) = self.worker_state_mut(id) {
             for (task, _) in &moved {
-                seat.remove_run(task);
+                state.remove_run(task);
             }
         }
         moved
     }
 
-    pub(super) fn lead_seat(&mut self, id: &WorkerId) -> Option<&mut Seat> {
-        self.lead.as_deref_mut()?.seats.get_mut(id)
+    pub(super) fn worker_state_mut(&mut self, id: &WorkerId) -> Option<&mut WorkerState> {
+        self.lead.as_deref_mut()?.worker_states.get_mut(id)
     }
 }
--- a/crates/bankvalve_queue/src/core/withdraw.rs
+++ b/crates/bankvalve_queue/src/core/job_withdrawal.rs
@@ -17,11 +17,11 @@
     ///
     /// What was never sent, or surely not carried out, is taken back and refused; of the rest
     /// it is only said that it is not known.
-    pub(super) fn withdraw_unkept(&mut self) {
-        if !self.store_is_away() || !self.uses(PolicySwitch::Withdrawal) {
+    pub(super) fn withdraw_uncommitted(&mut self) {
+        if !self.store_is_unavailable() || !self.uses(PolicySwitch::Withdrawal) {
             return;
         }
-        let sure = self.keeps(SiteGuard::SureRefusal);
+        let sure = self.enforces(SiteGuard::SureRefusal);
         let Some(lead) = self.lead.as_deref_mut() else {
             return;
         };
@@ -35,7 +35,7 @@
                 }
             } else if flight.copies == 0 {
                 let flight = lead.flight.take().expect("it was just seen");
-                lead.away_since.get_or_insert(flight.since);
+                lead.unavailable_since.get_or_insert(flight.since);
                 lead.next_commit_at = flight.next_at;
                 let mut events = flight.events.into_iter();
                 for (has_event, effect) in flight.effects.into_iter().rev() {
@@ -85,10 +85,10 @@
         for job in &jobs {
             lead.uncommitted.remove(job);
             lead.ending.remove(job);
-            lead.touched.insert(*job);
+            lead.dirty_jobs.insert(*job);
             lead.due.retain(|(_, due, _)| due != job);
-            for seat in lead.seats.values_mut() {
-                seat.drop_job(*job);
+            for state in lead.worker_states.values_mut() {
+                state.drop_job(*job);
             }
             self.book.withdraw(*job);
         }
--- a/crates/bankvalve_queue/src/core/confirm.rs
+++ b/crates/bankvalve_queue/src/core/lead_confirmation.rs
@@ -18,7 +18,7 @@
         let Some(lead) = self.lead.as_deref_mut() else {
             return;
         };
-        let pace = match lead.away_since {
+        let pace = match lead.unavailable_since {
             Some(_) => AWAY_CONFIRM,
             None => CONFIRM_EVERY,
         };
@@ -35,8 +35,8 @@
             from: String::new(),
             limit: None,
         };
-        self.note_store_question();
-        self.ask_store(StorePurpose::Confirm, request);
+        self.note_store_request();
+        self.send_store_request(StorePurpose::Confirm, request);
     }
 
     pub(super) fn end_confirm(&mut self, outcome: &StoreOutcome) {
@@ -51,13 +51,13 @@
         };
         lead.note_store_answer();
         if !rows.iter().any(|row| row.version == lead.row_version) {
-            self.depose("the row names another leader");
-            self.take_leader_rows(rows);
+            self.step_down("the row names another leader");
+            self.handle_leader_rows(rows);
             return;
         }
         lead.confirmed_at = lead.confirmed_at.max(asked_at);
         if lead.flight.is_none() {
-            lead.away_since = None;
+            lead.unavailable_since = None;
         }
         if !lead.loaded {
             return;
--- a/crates/bankvalve_queue/src/core/lead.rs
+++ b/crates/bankvalve_queue/src/core/lead_state.rs
@@ -4,19 +4,19 @@
 use std::time::Duration;
 
 use super::advice::StepAdvice;
-use super::carriers::CarrierList;
-use super::commit::{CommitFlight, Origin, Proposal};
-use super::customer_limits::{CustomerUsage, LimitStand};
+use super::call_proxies::ProxyList;
+use super::capacity_reclaim::CapacityClaim;
+use super::commit::{InFlightCommit, Origin, Proposal};
+use super::customer_limits::{CustomerUsage, LimitStatus};
 use super::customer_shares::CustomerShares;
 use super::incarnation::Incarnation;
 use super::live_run::LiveRun;
 use super::load_limit::LoadLimit;
-use super::making_room::RoomClaim;
-use super::returning::ReturningStep;
-use super::seat_map::SeatMap;
+use super::lost_contact::WaitTracker;
+use super::restart_preparation::RestartingStep;
 use super::suspects::WorkerLoss;
-use super::unheard::WaitSight;
-use super::waiting::WaitingStep;
+use super::waiting_steps::WaitingStep;
+use super::worker_map::WorkerMap;
 use super::EntryCore;
 use crate::caller::CallerRequest;
 use crate::customer::CallerIdentity;
@@ -68,7 +68,7 @@
 #[derive(Clone, Debug)]
 pub(super) enum CallPurpose {
     /// A look, and the number of the last end that it acknowledges; 0 for none.
-    Hold {
+    Poll {
         acknowledges: u64,
     },
     Start {
@@ -88,14 +88,14 @@
     pub(super) purpose: CallPurpose,
     pub(super) sent_at: CoreTime,
     /// Who carries it, if it is carried.
-    pub(super) carrier: Option<PeerAddress>,
+    pub(super) proxy: Option<PeerAddress>,
     /// When it has no answer, if none was heard of.
     pub(super) limit: CoreTime,
 }
 
 /// A request about a job that the leader does not know, until it is sure that it leads.
 #[derive(Debug)]
-pub(super) struct UnknownAsk {
+pub(super) struct UnknownJobRequest {
     pub(super) at: CoreTime,
     pub(super) origin: Origin,
     pub(super) caller: CallerIdentity,
@@ -119,17 +119,17 @@
     /// When this instance last went on after it had stood still for so long that another may lead.
     woke_at: CoreTime,
     /// Since when something was asked of the table without any answer coming.
-    pub(super) asked_since: Option<CoreTime>,
+    pub(super) unanswered_since: Option<CoreTime>,
     /// Since when peers are told that the table leaves requests unanswered.
     pub(super) trouble_since: Option<CoreTime>,
     pub(super) confirming: Option<CoreTime>,
     pub(super) next_confirm: CoreTime,
     /// Since when the table has turned all writes away, while none is on its way.
-    pub(super) away_since: Option<CoreTime>,
-    pub(super) confirm_waiting: Vec<UnknownAsk>,
+    pub(super) unavailable_since: Option<CoreTime>,
+    pub(super) confirm_waiting: Vec<UnknownJobRequest>,
     pub(super) sequence: u64,
     pub(super) pending: VecDeque<Proposal>,
-    pub(super) flight: Option<CommitFlight>,
+    pub(super) flight: Option<InFlightCommit>,
     pub(super) next_commit_at: CoreTime,
     /// Time that a write takes, lately.
     pub(super) commit_time: Duration,
@@ -147,24 +147,24 @@
     /// How often a task was stopped because its run was overdue.
     pub(super) moves: BTreeMap<TaskKey, u32>,
     /// Since when steps have found no room for all their tasks.
-    pub(super) room_waits: BTreeMap<StepKey, CoreTime>,
+    pub(super) capacity_waits: BTreeMap<StepKey, CoreTime>,
     /// When room is planned again for steps for which none could be.
     pub(super) plan_pauses: BTreeMap<StepKey, CoreTime>,
     /// Room that is kept for steps that wait for it.
-    pub(super) room_claims: BTreeMap<StepKey, RoomClaim>,
+    pub(super) capacity_claims: BTreeMap<StepKey, CapacityClaim>,
     /// How often a task was stopped to make room.
     pub(super) stops: BTreeMap<TaskKey, u32>,
     /// Jobs that are over, of which it is not kept yet.
     pub(super) ending: BTreeSet<JobId>,
-    pub(super) seats: SeatMap,
+    pub(super) worker_states: WorkerMap,
     /// What is told of tasks that do not run though they did.
-    pub(super) wait_sight: WaitSight,
+    pub(super) wait_tracker: WaitTracker,
     pub(super) calls: BTreeMap<Ticket, OpenCall>,
     /// Time that the way to a carrier and back takes, as heartbeats and their echoes tell.
-    pub(super) way_time: Duration,
+    pub(super) round_trip_time: Duration,
     /// Calls by the time at which they have no answer.
-    pub(super) call_limits: BTreeSet<(CoreTime, Ticket)>,
-    pub(super) carriers: CarrierList,
+    pub(super) call_deadlines: BTreeSet<(CoreTime, Ticket)>,
+    pub(super) proxies: ProxyList,
     /// Time that workers take to answer an order, lately; it rises quickly and falls slowly.
     answer_time: Duration,
     /// Time for which answers are waited for longer, since some were missed.
@@ -175,31 +175,31 @@
     /// What customers have running, as of the last placement.
     pub(super) usage: CustomerUsage,
     /// Steps that waited for their customer's limit at the last placement.
-    pub(super) held_back: BTreeMap<StepKey, LimitStand>,
+    pub(super) waiting_for_limit: BTreeMap<StepKey, LimitStatus>,
     pub(super) shares: CustomerShares,
-    pub(super) touched: BTreeSet<JobId>,
+    pub(super) dirty_jobs: BTreeSet<JobId>,
     pub(super) due: BTreeSet<(WallMillis, JobId, u32)>,
     pub(super) advice: BTreeMap<StepKey, StepAdvice>,
     /// Steps of open jobs whose tasks last, one by one.
     pub(super) lasting_steps: BTreeSet<StepKey>,
     /// Those of them with tasks that are away or soon will be.
-    pub(super) returning: BTreeMap<StepKey, ReturningStep>,
-    pub(super) next_returning: CoreTime,
+    pub(super) restarting: BTreeMap<StepKey, RestartingStep>,
+    pub(super) next_restart_preparation: CoreTime,
     /// Logarithm of measured to guessed run time by queue, on average.
-    pub(super) guess_error: BTreeMap<String, f64>,
+    pub(super) estimate_error: BTreeMap<String, f64>,
     pub(super) adviser_busy: BTreeMap<PeerAddress, CoreTime>,
     /// Whether room, permits or waiting steps changed since the last placement.
-    pub(super) stale: bool,
+    pub(super) placement_due: bool,
     pub(super) place_at: CoreTime,
     /// When all workers are gone through again for looks and for orders that are due.
-    pub(super) next_hold_scan: CoreTime,
+    pub(super) next_poll_scan: CoreTime,
     pub(super) next_order_scan: CoreTime,
     /// Runs to which an order is due, by the time at which it is.
     due_orders: BTreeSet<(CoreTime, WorkerId, TaskKey)>,
     /// When a peer was asked to lead, while this leader goes on.
-    pub(super) handed_at: Option<CoreTime>,
+    pub(super) handover_sent_at: Option<CoreTime>,
     pub(super) next_forget: CoreTime,
-    pub(super) next_measures: CoreTime,
+    pub(super) next_measurements: CoreTime,
     pub(super) load: LoadLimit,
     pub(super) next_advice_scan: CoreTime,
     /// Jobs of each queue that are not known to have begun, as counted lately, and when.
@@ -217,11 +217,11 @@
             workers_known: false,
             confirmed_at: now,
             woke_at: CoreTime::ZERO,
-            asked_since: None,
+            unanswered_since: None,
             trouble_since: None,
             confirming: None,
             next_confirm: now,
-            away_since: None,
+            unavailable_since: None,
             confirm_waiting: Vec::new(),
             sequence: 0,
             pending: VecDeque::new(),
@@ -235,40 +235,40 @@
             trials: BTreeMap::new(),
             worker_losses: Vec::new(),
             moves: BTreeMap::new(),
-            room_waits: BTreeMap::new(),
+            capacity_waits: BTreeMap::new(),
             plan_pauses: BTreeMap::new(),
-            room_claims: BTreeMap::new(),
+            capacity_claims: BTreeMap::new(),
             stops: BTreeMap::new(),
             ending: BTreeSet::new(),
-            seats: SeatMap::default(),
-            wait_sight: WaitSight::default(),
+            worker_states: WorkerMap::default(),
+            wait_tracker: WaitTracker::default(),
             calls: BTreeMap::new(),
-            way_time: Duration::ZERO,
-            call_limits: BTreeSet::new(),
-            carriers: CarrierList::default(),
+            round_trip_time: Duration::ZERO,
+            call_deadlines: BTreeSet::new(),
+            proxies: ProxyList::default(),
             answer_time: Duration::ZERO,
             missed_time: Duration::ZERO,
             missed_permille: 0,
             waiting: BTreeMap::new(),
             usage: CustomerUsage::default(),
-            held_back: BTreeMap::new(),
+            waiting_for_limit: BTreeMap::new(),
             shares: CustomerShares::default(),
-            touched: BTreeSet::new(),
+            dirty_jobs: BTreeSet::new(),
             due: BTreeSet::new(),
             advice: BTreeMap::new(),
             lasting_steps: BTreeSet::new(),
-            returning: BTreeMap::new(),
-            next_returning: now,
-            guess_error: BTreeMap::new(),
+            restarting: BTreeMap::new(),
+            next_restart_preparation: now,
+            estimate_error: BTreeMap::new(),
             adviser_busy: BTreeMap::new(),
-            stale: true,
+            placement_due: true,
             place_at: now,
-            next_hold_scan: now,
+            next_poll_scan: now,
             next_order_scan: now,
             due_orders: BTreeSet::new(),
-            handed_at: None,
+            handover_sent_at: None,
             next_forget: now,
-            next_measures: now,
+            next_measurements: now,
             load: LoadLimit::new(now),
             next_advice_scan: now,
             waiting_counts: BTreeMap::new(),
@@ -277,7 +277,7 @@
 
     /// A run that a worker has, or is about to have.
     pub(super) fn live_run(&mut self, worker: &WorkerId, task: &TaskKey) -> Option<&mut LiveRun> {
-        self.seats.get_mut(worker)?.runs.get_mut(task)
+        self.worker_states.get_mut(worker)?.runs.get_mut(task)
     }
 
     /// Notes that an order to a run is due at a time.
@@ -300,8 +300,8 @@
 
     /// Time between two goes through all workers: a small share of the processor, whatever their
     /// number.
-    pub(super) fn scan_pace(&self) -> Duration {
-        (SCAN_EACH * self.seats.len() as u32).min(SCAN_MOST)
+    pub(super) fn scan_interval(&self) -> Duration {
+        (SCAN_EACH * self.worker_states.len() as u32).min(SCAN_MOST)
     }
 
     pub(super) fn waiting_tasks(&self) -> u64 {
@@ -312,17 +312,20 @@
     }
 
     pub(super) fn live_runs(&self) -> u64 {
-        self.seats.values().map(|seat| seat.runs.len() as u64).sum()
+        self.worker_states
+            .values()
+            .map(|state| state.runs.len() as u64)
+            .sum()
     }
 
     /// Tells whether something is to be kept or placed soon.
     pub(super) fn is_busy(&self) -> bool {
-        self.stale || (self.flight.is_none() && !self.pending.is_empty())
+        self.placement_due || (self.flight.is_none() && !self.pending.is_empty())
     }
 
     /// The table has answered.
     pub(super) fn note_store_answer(&mut self) {
-        self.asked_since = None;
+        self.unanswered_since = None;
     }
 
     /// Time has passed in which nothing was done: the machine was suspended or frozen.
@@ -334,7 +337,7 @@
     }
 
     /// Whether it is not known yet that it still leads after it stood still.
-    pub(super) fn doubts_its_lead(&self) -> bool {
+    pub(super) fn must_confirm_lead(&self) -> bool {
         self.confirmed_at < self.woke_at
     }
 
@@ -348,14 +351,14 @@
     /// over that link. Where peers read the ledger on thin links of their own, their echoes wait behind
     /// it for many seconds; taken for the leader's link, they had it refuse 97 of 100 new jobs 15 s after
     /// all instances were back.
-    pub(super) fn link_time(&self, now: CoreTime) -> Duration {
+    pub(super) fn link_delay(&self, now: CoreTime) -> Duration {
         let lately = |at: CoreTime| now.saturating_sub(at) < COMMIT_TELLS;
         let known = self.last_commit.filter(|(_, at)| lately(*at));
         known.map_or(Duration::MAX, |(took, _)| took)
     }
 
     /// Time until a start that is proposed now is ordered, as the last ones took.
-    pub(super) fn time_to_keep(&self) -> Duration {
+    pub(super) fn time_to_commit(&self) -> Duration {
         self.order_wait.max(self.commit_time).min(KEEP_LIMIT)
     }
 
@@ -391,16 +394,16 @@
     }
 
     /// A start was ordered so long after it was proposed.
-    pub(super) fn note_order_wait(&mut self, wait: Duration) {
+    pub(super) fn note_order_delay(&mut self, wait: Duration) {
         self.order_wait = (self.order_wait * 3 + wait) / 4;
     }
 
     /// The most that is free of each kind of room, on whichever workers.
-    pub(super) fn most_room(&self) -> TaskSize {
+    pub(super) fn max_free(&self) -> TaskSize {
         let free = self
-            .seats
+            .worker_states
             .values()
-            .map(|seat| seat.entry.room.minus(&seat.used));
+            .map(|state| state.entry.room.minus(&state.used));
         free.fold(TaskSize::default(), |most, room| TaskSize {
             millicores: most.millicores.max(room.millicores),
             memory_mib: most.memory_mib.max(room.memory_mib),
@@ -421,13 +424,13 @@
         self.run_loading();
         // Ends must not be taken before the jobs that they belong to are known.
         let loaded = self.lead.as_ref().is_some_and(|lead| lead.loaded);
-        if loaded || !self.keeps(SiteGuard::LedgerFirst) {
-            self.run_carriers();
-            self.run_holds();
+        if loaded || !self.enforces(SiteGuard::LedgerFirst) {
+            self.run_proxies();
+            self.run_polls();
             self.open_due_times();
             self.run_orders();
-            self.refresh_touched();
-            self.run_returning();
+            self.refresh_dirty_jobs();
+            self.prepare_restarts();
             self.run_placing();
             self.run_advice();
         }
@@ -453,7 +456,7 @@
                     continue;
                 }
                 record.open_time(time);
-                lead.touched.insert(job);
+                lead.dirty_jobs.insert(job);
                 if time + 1 < record.spec.times() {
                     let next = record.spec.due_ms(time + 1);
                     lead.due.insert((next, job, time + 1));
@@ -470,8 +473,8 @@
             return;
         }
         lead.next_forget = self.now + FORGET_EVERY;
-        self.forget_stopped_holds();
-        self.tell_left_out();
+        self.forget_stopped_leases();
+        self.log_dropped_lines();
         let Some(lead) = self.lead.as_deref_mut() else {
             return;
         };
@@ -486,8 +489,8 @@
         lead.shares.retain(open);
         lead.moves.retain(|task, _| open(task.step.job));
         lead.stops.retain(|task, _| open(task.step.job));
-        lead.room_waits.retain(|step, _| open(step.job));
-        lead.room_claims.retain(|step, _| open(step.job));
+        lead.capacity_waits.retain(|step, _| open(step.job));
+        lead.capacity_claims.retain(|step, _| open(step.job));
         lead.plan_pauses.retain(|step, _| open(step.job));
         lead.advice.retain(|step, _| open(step.job));
         lead.waiting_counts.clear();
--- a/crates/bankvalve_queue/src/core/without_leader.rs
+++ b/crates/bankvalve_queue/src/core/leader_absence.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use super::lead::LeadState;
+use super::lead_state::LeadState;
 use super::EntryCore;
 use crate::ids::CoreTime;
 
@@ -21,7 +21,7 @@
     /// Logs, once a second at most, that no leader works and what is waited for.
     pub(super) fn watch_leader(&mut self) {
         let loaded = self.lead.as_deref().map(|lead| lead.loaded);
-        let works = loaded.unwrap_or_else(|| self.leader_is_heard());
+        let works = loaded.unwrap_or_else(|| self.has_leader_contact());
         if works {
             if let Some(since) = self.leader_gap.since.take() {
                 let detail = format!("after {:?}", self.age(since));
@@ -73,7 +73,7 @@
 
     /// What stands between this instance and a leader.
     fn waits_for(&self) -> String {
-        let table = match self.store_heard {
+        let table = match self.store_last_contact {
             Some(at) => format!("table heard {:?} ago", self.age(at)),
             None => "table never heard".to_owned(),
         };
@@ -87,13 +87,16 @@
             let lost = self.claims_unanswered;
             format!("claim of epoch {}, {lost} unanswered", claim.epoch)
         } else if let Some(since) = self.suspect_since {
-            let (near, far) = self.members_before_own();
+            let (near, far) = self.higher_ranked_members();
             format!(
                 "turn to claim, {:?} so far, {near} near and {far} others first",
                 self.age(since)
             )
         } else {
-            let silence = self.leader.as_ref().map(|leader| self.age(leader.heard_at));
+            let silence = self
+                .leader
+                .as_ref()
+                .map(|leader| self.age(leader.last_contact));
             format!("leader silent for {silence:?}, not suspected")
         };
         format!("{step}, {table}")
--- a/crates/bankvalve_queue/src/core/holds.rs
+++ b/crates/bankvalve_queue/src/core/lease_renewal.rs
@@ -2,10 +2,10 @@
 
 use std::time::Duration;
 
-use super::carriers::CARRY_SLACK;
-use super::lead::{CallPurpose, LeadState, OpenCall};
-use super::round_trip::WAY_MOST;
-use super::seat::{LifeEnd, ListConnection, Seat, SILENT_LONG};
+use super::call_proxies::PROXY_SLACK;
+use super::lead_state::{CallPurpose, LeadState, OpenCall};
+use super::round_trip::MAX_ROUND_TRIP;
+use super::worker_state::{ListConnection, ProcessEnd, WorkerState, UNRESPONSIVE_AFTER};
 use super::EntryCore;
 use crate::guard::SiteGuard;
 use crate::ids::{CoreTime, Ticket, WorkerId};
@@ -19,7 +19,7 @@
 /// **NOTE:** Each process sends this value to its peers, which also apply it to earlier processes at its
 /// address. A version with a shorter lease must send the longer value for as long as earlier processes may
 /// have requested it.
-pub(super) const HOLD: Duration = Duration::from_millis(5_000);
+pub(super) const LEASE_DURATION: Duration = Duration::from_millis(5_000);
 /// Longest time for which a worker waits for the end of a run before it answers a poll.
 const LOOK_WAIT: Duration = Duration::from_millis(900);
 /// Longest such wait of a worker with urgent runs. The leader notices a lost answer only after the wait, and
@@ -69,7 +69,7 @@
 /// Time since the last contact within which a worker's lease is renewed. It allows one more renewal after a
 /// poll whose answer is lost (1.5 s). A lost worker's tasks start again no sooner than this time and a lease
 /// after the last contact.
-pub(super) const PROLONG_IF_HEARD: Duration = Duration::from_millis(1_600);
+pub(super) const RENEW_WITHIN: Duration = Duration::from_millis(1_600);
 /// Longest time for which a leader sends calls to workers without confirmation of its leadership.
 pub(super) const UNCONFIRMED_LIMIT: Duration = Duration::from_secs(15);
 /// Factor for the longest time that a lease takes by a worker's clock: the clock may run 2% slow, and answers
@@ -87,8 +87,8 @@
     }
 
     /// Polls workers that are due, and declares lost those whose leases have expired.
-    pub(super) fn run_holds(&mut self) {
-        self.watch_waits();
+    pub(super) fn run_polls(&mut self) {
+        self.track_waits();
         if !self.may_command() {
             return;
         }
@@ -96,54 +96,58 @@
         let Some(lead) = self.lead.as_deref_mut() else {
             return;
         };
-        if now < lead.next_hold_scan {
+        if now < lead.next_poll_scan {
             return;
         }
-        lead.next_hold_scan = now + lead.scan_pace();
+        lead.next_poll_scan = now + lead.scan_interval();
         let Some(lead) = self.lead.as_deref() else {
             return;
         };
         let mut due = Vec::new();
         // A worker's answer may be queued behind the event that is being handled.
         let seen = now.saturating_sub(self.lag);
-        let is_silent = |seat: &Seat| !seat.is_heard(seen, SILENT_LONG);
+        let is_unresponsive = |state: &WorkerState| !state.has_contact(seen, UNRESPONSIVE_AFTER);
         let (mut first_looks, mut silent_looks) = (0, 0);
-        for seat in lead.seats.values().filter(|seat| seat.hold_busy) {
-            first_looks += usize::from(!seat.proved);
-            silent_looks += usize::from(seat.proved && is_silent(seat));
+        for state in lead
+            .worker_states
+            .values()
+            .filter(|state| state.poll_in_flight)
+        {
+            first_looks += usize::from(!state.token_accepted);
+            silent_looks += usize::from(state.token_accepted && is_unresponsive(state));
         }
         let mut silent_due = Vec::new();
         let mut over = Vec::new();
         let mut gone = Vec::new();
-        for (id, seat) in lead.seats.iter() {
-            let told = self.stopped_holds.silent_since(id);
-            let known_at = told.unwrap_or(seat.known_at).min(seat.known_at);
-            let silent = seen.saturating_sub(seat.heard_at.unwrap_or(known_at));
-            let silent_long = is_silent(seat);
-            if !seat.runs.is_empty() && silent_long && self.is_over(id, seat) {
-                over.push((id.clone(), seat.listed, silent));
+        for (id, state) in lead.worker_states.iter() {
+            let told = self.stopped_leases.unresponsive_since(id);
+            let known_at = told.unwrap_or(state.known_at).min(state.known_at);
+            let silent = seen.saturating_sub(state.last_contact.unwrap_or(known_at));
+            let silent_long = is_unresponsive(state);
+            if !state.runs.is_empty() && silent_long && self.is_over(id, state) {
+                over.push((id.clone(), state.listed, silent));
             }
-            let idle = now.saturating_sub(seat.heard_at.unwrap_or(seat.known_at));
-            if !seat.listed && seat.runs.is_empty() && idle > FORGET_SEAT {
+            let idle = now.saturating_sub(state.last_contact.unwrap_or(state.known_at));
+            if !state.listed && state.runs.is_empty() && idle > FORGET_SEAT {
                 gone.push(id.clone());
-            } else if !seat.look_is_due(now) {
+            } else if !state.poll_is_due(now) {
                 continue;
-            } else if !seat.proved {
+            } else if !state.token_accepted {
                 first_looks += 1;
                 due.extend((first_looks <= FIRST_LOOKS).then(|| id.clone()));
             } else if silent_long {
-                silent_due.push((seat.next_hold, id.clone()));
+                silent_due.push((state.next_poll, id.clone()));
             } else {
                 due.push(id.clone());
             }
         }
-        let budget = SILENT_LOOKS.max(lead.seats.len() / SILENT_SHARE);
+        let budget = SILENT_LOOKS.max(lead.worker_states.len() / SILENT_SHARE);
         silent_due.sort_unstable();
         silent_due.truncate(budget.saturating_sub(silent_looks));
         due.extend(silent_due.into_iter().map(|(_, id)| id));
         let mut waited_for = Vec::new();
         if !over.is_empty() {
-            let patience = self.silence_patience(lead);
+            let patience = self.unresponsive_timeout(lead);
             let is_waited_for =
                 |(_, listed, silent): &(WorkerId, bool, Duration)| *listed && *silent < patience;
             (waited_for, over) = over.into_iter().partition(is_waited_for);
@@ -151,29 +155,32 @@
         for id in due {
             self.look(&id);
         }
-        self.stop_silent_holds();
+        self.stop_silent_leases();
         for (id, ..) in over {
-            self.give_up_seat(&id, LifeEnd::HoldOver);
+            self.declare_worker_lost(&id, ProcessEnd::LeaseExpired);
         }
         for (id, ..) in waited_for {
             self.give_up_untold(&id);
         }
         if let Some(lead) = self.lead.as_deref_mut() {
             for id in gone {
-                lead.seats.remove(&id);
+                lead.worker_states.remove(&id);
             }
         }
     }
 
     /// Returns the time without contact for which the leader waits for a worker whose entry exists.
-    pub(super) fn silence_patience(&self, lead: &LeadState) -> Duration {
-        if !self.keeps(SiteGuard::LateDone) {
+    pub(super) fn unresponsive_timeout(&self, lead: &LeadState) -> Duration {
+        if !self.enforces(SiteGuard::LateDone) {
             return Duration::ZERO;
         }
-        let busy = lead.seats.values().filter(|seat| !seat.runs.is_empty());
+        let busy = lead
+            .worker_states
+            .values()
+            .filter(|state| !state.runs.is_empty());
         let silent = busy
             .clone()
-            .filter(|seat| !seat.is_heard(self.now, SILENT_LONG));
+            .filter(|state| !state.has_contact(self.now, UNRESPONSIVE_AFTER));
         let (busy, silent) = (busy.count(), silent.count());
         let common = silent >= COMMON_LEAST && silent * COMMON_SHARE >= busy;
         if common {
@@ -191,85 +198,99 @@
     fn give_up_untold(&mut self, id: &WorkerId) {
         let now = self.now;
         let lead = self.lead.as_deref();
-        let Some(seat) = lead.and_then(|lead| lead.seats.get(id)) else {
+        let Some(state) = lead.and_then(|lead| lead.worker_states.get(id)) else {
             return;
         };
-        let untold = seat.runs.iter().filter(|(_, live)| !live.may_end_well());
+        let untold = state
+            .runs
+            .iter()
+            .filter(|(_, live)| !live.may_report_success());
         let lost: Vec<_> = untold
-            .map(|(task, live)| (*task, live.run, live.saved.clone(), live.sight(now)))
+            .map(|(task, live)| (*task, live.run, live.saved.clone(), live.summary(now)))
             .collect();
         for (task, run, saved, sight) in lost {
-            let why = format!("{}, its entry stands, {sight}", LifeEnd::HoldOver.as_str());
+            let why = format!(
+                "{}, its entry stands, {sight}",
+                ProcessEnd::LeaseExpired.as_str()
+            );
             self.end_without_report(id, task, run, EndKind::Lost, saved, &why);
         }
     }
 
     /// Returns whether all runs on an unresponsive worker are known to have ended.
-    fn is_over(&self, id: &WorkerId, seat: &Seat) -> bool {
-        if !self.keeps(SiteGuard::HoldOver) {
+    fn is_over(&self, id: &WorkerId, state: &WorkerState) -> bool {
+        if !self.enforces(SiteGuard::HoldOver) {
             return true;
         }
-        let former = self.former_holds_over_at(id);
-        if !seat.proved {
+        let former = self.former_leases_expire_at(id);
+        if !state.token_accepted {
             // The worker may be running: it is polled once before, if its entry exists.
-            let asked = !seat.listed || seat.unanswered > 0;
+            let asked = !state.listed || state.unanswered > 0;
             let workers_known = self.lead.as_deref().is_some_and(|lead| lead.workers_known);
             return self.now > former && workers_known && asked;
         }
-        let taken = seat.proved_at + self.former_leaders.longest_hold();
-        self.now > former.min(taken) && seat.hold_is_over(self.now)
+        let taken = state.token_accepted_at + self.former_leaders.longest_lease();
+        self.now > former.min(taken) && state.lease_has_expired(self.now)
     }
 
     /// Polls a worker at once if that is due, without scanning all workers.
-    pub(super) fn look_if_due(&mut self, id: &WorkerId) {
+    pub(super) fn poll_if_due(&mut self, id: &WorkerId) {
         let now = self.now;
-        let seat = self.lead.as_ref().and_then(|lead| lead.seats.get(id));
-        if self.may_command() && seat.is_some_and(|seat| seat.look_is_due(now)) {
+        let state = self
+            .lead
+            .as_ref()
+            .and_then(|lead| lead.worker_states.get(id));
+        if self.may_command() && state.is_some_and(|state| state.poll_is_due(now)) {
             self.look(id);
         }
     }
 
     fn look(&mut self, id: &WorkerId) {
         let now = self.now;
-        let bound = self.hold_bound();
+        let bound = self.lease_bound();
         let short_looks = self.uses(PolicySwitch::ShortLooks);
         let Some(lead) = self.lead.as_deref_mut() else {
             return;
         };
-        let many = lead.seats.len() > MANY_WORKERS;
-        let carrier = lead.carriers.carrier_of(id);
+        let many = lead.worker_states.len() > MANY_WORKERS;
+        let proxy = lead.proxies.proxy_of(id);
         let slack = lead.answer_limit(LOOK_SLACK);
-        let Some(seat) = lead.seats.get_mut(id) else {
+        let Some(state) = lead.worker_states.get_mut(id) else {
             return;
         };
-        let heard = seat.is_heard(now, PROLONG_IF_HEARD);
-        let until_ms = if seat.may_prolong(now, PROLONG_IF_HEARD) {
-            seat.hold_until(bound)
+        let heard = state.has_contact(now, RENEW_WITHIN);
+        let until_ms = if state.may_renew_lease(now, RENEW_WITHIN) {
+            state.lease_deadline(bound)
         } else {
             None
         };
         if let Some(until) = until_ms {
-            seat.granted_until = seat.granted_until.max(until);
+            state.lease_until = state.lease_until.max(until);
         }
-        let connection = seat.acknowledges_on(carrier);
-        let acknowledges = connection.map_or(0, |_| seat.kept);
-        let settled = seat.seen == seat.kept && (!seat.has_kept_ends() || connection.is_some());
+        let connection = state.acknowledges_on(proxy);
+        let acknowledges = connection.map_or(0, |_| state.last_end_committed);
+        let settled = state.last_end_seen == state.last_end_committed
+            && (!state.has_unacknowledged_ends() || connection.is_some());
         // After a lost answer the worker does not wait. A second wait would exceed the time since the last
         // contact within which its lease is renewed.
-        let wait = if !(seat.proved && settled && heard) || seat.unanswered > 0 {
+        let wait = if !(state.token_accepted && settled && heard) || state.unanswered > 0 {
             Duration::ZERO
-        } else if seat.is_on_trial() {
+        } else if state.is_on_trial() {
             TRIAL_LOOK_WAIT
-        } else if many && seat.runs.is_empty() {
+        } else if many && state.runs.is_empty() {
             IDLE_LOOK_WAIT
-        } else if short_looks && seat.has_urgent_run() {
+        } else if short_looks && state.has_urgent_run() {
             URGENT_LOOK_WAIT
         } else {
             LOOK_WAIT
         };
-        let slack = if seat.proved { slack } else { LOOK_SLACK };
-        seat.hold_busy = true;
-        seat.look_wait = wait;
+        let slack = if state.token_accepted {
+            slack
+        } else {
+            LOOK_SLACK
+        };
+        state.poll_in_flight = true;
+        state.poll_wait = wait;
         let call = WorkerCall::Hold {
             until_ms,
             kept: acknowledges,
@@ -277,7 +298,7 @@
             wait_ms: wait.as_millis() as u64,
         };
         self.counters.count("calls", "look");
-        let purpose = CallPurpose::Hold { acknowledges };
+        let purpose = CallPurpose::Poll { acknowledges };
         self.call_worker(id, purpose, call, wait + slack);
     }
 
@@ -289,39 +310,41 @@
         time: Duration,
     ) {
         let ticket = self.take_ticket();
-        let carrier = self.have_carried(ticket, id, &call, time);
+        let proxy = self.send_via_proxy(ticket, id, &call, time);
         let way = self
             .lead
             .as_deref()
-            .map_or(Duration::ZERO, |lead| lead.way_time);
-        let slack = carrier.map_or(LOST_ANSWER, |_| CARRY_SLACK + way.min(WAY_MOST));
+            .map_or(Duration::ZERO, |lead| lead.round_trip_time);
+        let slack = proxy.map_or(LOST_ANSWER, |_| PROXY_SLACK + way.min(MAX_ROUND_TRIP));
         let limit = self.now + time + slack;
         let Some(lead) = self.lead.as_deref_mut() else {
             return;
         };
-        let (Some(seat), Some(incarnation)) = (lead.seats.get(id), lead.seats.incarnation_of(id))
-        else {
+        let (Some(state), Some(incarnation)) = (
+            lead.worker_states.get(id),
+            lead.worker_states.incarnation_of(id),
+        ) else {
             return;
         };
-        let address = seat.entry.address.clone();
+        let address = state.entry.address.clone();
         let open = OpenCall {
             worker: incarnation,
             purpose,
             sent_at: self.now,
-            carrier,
+            proxy,
             limit,
         };
         lead.calls.insert(ticket, open);
-        lead.call_limits.insert((limit, ticket));
+        lead.call_deadlines.insert((limit, ticket));
         let token = lead.epoch;
-        if carrier.is_none() {
+        if proxy.is_none() {
             self.push_worker_call(ticket, id, address, token, call, time);
         }
     }
 
-    pub(super) fn take_worker_answer(&mut self, ticket: Ticket, answer: WorkerAnswer) {
+    pub(super) fn handle_worker_answer(&mut self, ticket: Ticket, answer: WorkerAnswer) {
         let now = self.now;
-        if self.pass_answer_on(ticket, &answer) {
+        if self.forward_answer(ticket, &answer) {
             return;
         }
         let Some(lead) = self.lead.as_deref_mut() else {
@@ -330,9 +353,9 @@
         let Some(open) = lead.calls.remove(&ticket) else {
             return;
         };
-        lead.call_limits.remove(&(open.limit, ticket));
+        lead.call_deadlines.remove(&(open.limit, ticket));
         let purpose = &open.purpose;
-        let order = !matches!(purpose, CallPurpose::Hold { .. });
+        let order = !matches!(purpose, CallPurpose::Poll { .. });
         if order && matches!(answer, WorkerAnswer::Done { .. }) {
             lead.note_answer(now.saturating_sub(open.sent_at));
         }
@@ -344,12 +367,12 @@
             }
         );
         if fenced {
-            self.depose("a worker has seen a later token");
+            self.step_down("a worker has seen a later token");
             self.read_leader_row();
             return;
         }
         // An answer of a process that another one has replaced is of no use.
-        let Some(seat) = lead.seats.of_mut(&open.worker) else {
+        let Some(state) = lead.worker_states.get_incarnation_mut(&open.worker) else {
             return;
         };
         let id = open.worker.worker.clone();
@@ -357,23 +380,23 @@
             WorkerAnswer::OtherLife => {
                 if let CallPurpose::Start { task, .. } = purpose {
                     // The other process has refused the order, so it was not executed.
-                    if let Some(live) = seat.runs.get_mut(task) {
+                    if let Some(live) = state.runs.get_mut(task) {
                         live.busy = false;
                     }
                 }
-                self.give_up_seat(&id, LifeEnd::OtherLife);
-                if let Some(seat) = self
+                self.declare_worker_lost(&id, ProcessEnd::OtherLife);
+                if let Some(state) = self
                     .lead
                     .as_deref_mut()
-                    .and_then(|lead| lead.seats.get_mut(&id))
+                    .and_then(|lead| lead.worker_states.get_mut(&id))
                 {
-                    seat.listed = false;
-                    seat.hold_busy = false;
-                    seat.next_hold = now + FORGET_SEAT;
+                    state.listed = false;
+                    state.poll_in_flight = false;
+                    state.next_poll = now + FORGET_SEAT;
                 }
             }
             answer => match *purpose {
-                CallPurpose::Hold { acknowledges } => {
+                CallPurpose::Poll { acknowledges } => {
                     self.end_look(&id, &open, acknowledges, &answer)
                 }
                 CallPurpose::Start { task, run } => self.end_start(&id, task, run, &answer),
@@ -391,26 +414,26 @@
         answer: &WorkerAnswer,
     ) {
         let sent_at = open.sent_at;
-        if let Some(seat) = self.lead_seat(id) {
-            seat.hold_busy = false;
-            seat.listed_on = None;
+        if let Some(state) = self.worker_state_mut(id) {
+            state.poll_in_flight = false;
+            state.listed_on = None;
         }
         match answer {
             WorkerAnswer::Done {
                 report: Some(report),
                 clock_ms,
             } => {
-                let before = self.lead_seat(id).map(|seat| seat.number);
+                let before = self.worker_state_mut(id).map(|state| state.number);
                 if !self.identify_process(id, sent_at, report, *clock_ms) {
                     self.end_silent_look(id, sent_at, answer);
                     return;
                 }
-                if let Some(seat) = self.lead_seat(id) {
-                    if before == Some(seat.number) {
-                        seat.acknowledged = seat.acknowledged.max(acknowledged);
+                if let Some(state) = self.worker_state_mut(id) {
+                    if before == Some(state.number) {
+                        state.last_end_acknowledged = state.last_end_acknowledged.max(acknowledged);
                     }
-                    seat.listed_on = report.connection.map(|connection| ListConnection {
-                        carrier: open.carrier,
+                    state.listed_on = report.connection.map(|connection| ListConnection {
+                        proxy: open.proxy,
                         connection,
                     });
                 }
@@ -419,10 +442,10 @@
             // The only connection allowed has closed, which shows nothing about the worker: poll it again.
             WorkerAnswer::NotSent if acknowledged > 0 => {
                 self.counters.count("retries", "connection_ended");
-                if let Some(seat) = self.lead_seat(id) {
-                    seat.next_hold = sent_at;
+                if let Some(state) = self.worker_state_mut(id) {
+                    state.next_poll = sent_at;
                 }
-                self.look_if_due(id);
+                self.poll_if_due(id);
             }
             _ => self.end_silent_look(id, sent_at, answer),
         }
@@ -430,25 +453,25 @@
 
     fn end_silent_look(&mut self, id: &WorkerId, sent_at: CoreTime, answer: &WorkerAnswer) {
         let now = self.now;
-        let Some(seat) = self.lead_seat(id) else {
+        let Some(state) = self.worker_state_mut(id) else {
             return;
         };
         // Polls again at once after a first lost answer, and after a pause if the worker stays unresponsive.
-        let first_silence = seat.is_heard(now, FIRST_SILENCE);
+        let first_silence = state.has_contact(now, FIRST_SILENCE);
         // A connection timeout counts as no answer, and is no evidence that the worker has ended.
-        seat.refused = *answer == WorkerAnswer::PortRefused;
-        if seat.refused {
-            seat.refused_at.get_or_insert(now);
+        state.refused = *answer == WorkerAnswer::PortRefused;
+        if state.refused {
+            state.refused_at.get_or_insert(now);
         }
-        seat.next_hold = match (first_silence, seat.refused) {
+        state.next_poll = match (first_silence, state.refused) {
             (false, _) => now + SILENT_PAUSE,
             (true, true) => now + REFUSED_PAUSE,
             (true, false) => now,
         };
         let asked = now.saturating_sub(sent_at);
-        let runs = seat.runs.len();
-        seat.unanswered += 1;
-        let unanswered = seat.unanswered;
+        let runs = state.runs.len();
+        state.unanswered += 1;
+        let unanswered = state.unanswered;
         if unanswered.is_power_of_two() {
             self.log_often("workers", "silent", || {
                 let detail = format!("{answer:?} after {asked:?}, poll {unanswered}, {runs} runs");
@@ -456,7 +479,7 @@
             });
         }
         self.counters.count("retries", "worker_silent");
-        self.keep_crashes(id);
+        self.propose_crash_evidence(id);
         if let Some(lead) = self.lead.as_deref_mut().filter(|_| first_silence) {
             lead.note_miss();
         }
@@ -474,41 +497,41 @@
             return;
         };
         lead.note_in_time();
-        let Some(seat) = lead.seats.get_mut(id) else {
+        let Some(state) = lead.worker_states.get_mut(id) else {
             return;
         };
         if let Some(clock) = clock_ms {
-            seat.note_clock(now, clock);
+            state.note_clock(now, clock);
         }
-        let first = !seat.proved;
-        seat.proved = true;
+        let first = !state.token_accepted;
+        state.token_accepted = true;
         if first {
-            seat.proved_at = now;
+            state.token_accepted_at = now;
         }
-        seat.heard_at = Some(now);
-        seat.unanswered = 0;
-        seat.refused = false;
-        seat.refused_at = None;
-        seat.over = false;
-        seat.forget_crashes();
-        seat.next_hold = if first {
+        state.last_contact = Some(now);
+        state.unanswered = 0;
+        state.refused = false;
+        state.refused_at = None;
+        state.declared_lost = false;
+        state.forget_crashes();
+        state.next_poll = if first {
             now
         } else {
             (sent_at + LOOK_PACE).max(now)
         };
-        self.resume_hold(id);
-        self.take_report(id, sent_at, report);
+        self.request_lease_renewal(id);
+        self.handle_report(id, sent_at, report);
         let Some(lead) = self.lead.as_deref_mut() else {
             return;
         };
         if first {
-            lead.stale = true;
+            lead.placement_due = true;
         }
-        if let Some(seat) = lead.seats.get_mut(id) {
-            if seat.seen != seat.kept && !seat.has_kept_ends() {
-                seat.next_hold = now + KEEP_PAUSE;
+        if let Some(state) = lead.worker_states.get_mut(id) {
+            if state.last_end_seen != state.last_end_committed && !state.has_unacknowledged_ends() {
+                state.next_poll = now + KEEP_PAUSE;
             }
         }
-        self.look_if_due(id);
+        self.poll_if_due(id);
     }
 }
--- a/crates/bankvalve_queue/src/core/live_run.rs
+++ b/crates/bankvalve_queue/src/core/live_run.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use super::overdue::RunProgress;
+use super::overdue_runs::RunProgress;
 use crate::customer::CustomerName;
 use crate::ids::{CoreTime, RunId};
 use crate::job::{StepSpec, TaskSize};
@@ -44,27 +44,28 @@
 pub(super) enum RunLoad {
     Plain,
     /// It serves users of its own, whose waits must stay short.
-    Serves,
+    LatencySensitive,
     /// It uses what others leave, and disturbs those that serve.
-    Fills,
+    BestEffort,
 }
 
 impl RunLoad {
     pub(super) fn of(spec: &StepSpec) -> Self {
         if spec.fills {
-            RunLoad::Fills
+            RunLoad::BestEffort
         } else if spec.latency_target_ms > 0 {
-            RunLoad::Serves
+            RunLoad::LatencySensitive
         } else {
             RunLoad::Plain
         }
     }
 
     /// Tells whether two loads must not meet on one worker.
-    pub(super) fn disturbs(self, other: RunLoad) -> bool {
+    pub(super) fn conflicts_with(self, other: RunLoad) -> bool {
         matches!(
             (self, other),
-            (RunLoad::Serves, RunLoad::Fills) | (RunLoad::Fills, RunLoad::Serves)
+            (RunLoad::LatencySensitive, RunLoad::BestEffort)
+                | (RunLoad::BestEffort, RunLoad::LatencySensitive)
         )
     }
 }
@@ -74,7 +75,7 @@
 pub(super) struct LiveRun {
     pub(super) run: RunId,
     pub(super) load: RunLoad,
-    pub(super) room: TaskSize,
+    pub(super) resources: TaskSize,
     /// What counts against its customer's limit: also the processor of a task that fills, and no
     /// more of a task that has its worker to itself.
     pub(super) size: TaskSize,
@@ -100,7 +101,7 @@
     /// Whether it runs until its job is cancelled.
     pub(super) lasting: bool,
     /// Whether it lasts or works with others, so that it is not stopped to end sooner.
-    pub(super) together: bool,
+    pub(super) must_not_move: bool,
     /// How far it has come, once a list has told.
     pub(super) progress: Option<RunProgress>,
     /// When the first order was sent by this leader.
@@ -123,7 +124,7 @@
         Self {
             run,
             load: RunLoad::of(spec),
-            room: spec.room(),
+            resources: spec.resources(),
             size: spec.size,
             customer: None,
             phase,
@@ -140,7 +141,7 @@
             urgent: false,
             saves: spec.checkpoints,
             lasting: spec.lasting,
-            together: spec.gang || spec.lasting,
+            must_not_move: spec.gang || spec.lasting,
             progress: None,
             ordered_at: None,
             answered: false,
@@ -168,12 +169,12 @@
             phase: RunPhase::Stopping { confirmed: None },
             busy: false,
             next_at: now,
-            ..self.or_ended_as(ended_as)
+            ..self.with_end_if_unlisted(ended_as)
         }
     }
 
     /// The run, with how it ended if the next process of its worker does not list it.
-    pub(super) fn or_ended_as(self, ended_as: EndKind) -> Self {
+    pub(super) fn with_end_if_unlisted(self, ended_as: EndKind) -> Self {
         Self {
             ended_as: Some(ended_as),
             ..self
@@ -186,7 +187,7 @@
     }
 
     /// Time for which it has surely run, as far as this leader was told.
-    pub(super) fn lived(&self) -> Duration {
+    pub(super) fn known_run_time(&self) -> Duration {
         match (&self.phase, self.listed_at) {
             (RunPhase::Running { since }, Some(at)) => at.saturating_sub(*since),
             (RunPhase::Stopping { .. }, Some(at)) => at.saturating_sub(self.began),
@@ -206,7 +207,7 @@
     }
 
     /// Whether an order that may have arrived was sent: one that its worker's port refused has not.
-    pub(super) fn may_have_begun(&self) -> bool {
+    pub(super) fn may_have_started(&self) -> bool {
         match self.phase {
             RunPhase::Proposed => false,
             RunPhase::Ordered => self.busy || self.copies > 0,
@@ -216,13 +217,13 @@
 
     /// Whether a silent worker's lists may still tell of a good end: what lasts has none, and an order
     /// without an answer, of a run that no list has named, may never have arrived.
-    pub(super) fn may_end_well(&self) -> bool {
+    pub(super) fn may_report_success(&self) -> bool {
         let seen = self.phase != RunPhase::Ordered || self.listed_at.is_some();
         !self.lasting && seen
     }
 
     /// For the log: where it stood, and for how long it was surely seen to run.
-    pub(super) fn sight(&self, now: CoreTime) -> String {
+    pub(super) fn summary(&self, now: CoreTime) -> String {
         let age = now.saturating_sub(self.began);
         match self.listed_at {
             Some(at) => {
--- a/crates/bankvalve_queue/src/core/load_limit.rs
+++ b/crates/bankvalve_queue/src/core/load_limit.rs
@@ -64,7 +64,7 @@
     }
 
     /// Tells whether less than all was taken on lately, so that it is best to do with less.
-    pub(super) fn was_limited_lately(&self, now: CoreTime) -> bool {
+    pub(super) fn was_limited_recently(&self, now: CoreTime) -> bool {
         let lately = |at: CoreTime| now.saturating_sub(at) < LIMITED_LATELY;
         self.limited_at.is_some_and(lately)
     }
--- a/crates/bankvalve_queue/src/core/log_budget.rs
+++ b/crates/bankvalve_queue/src/core/log_budget.rs
@@ -54,7 +54,7 @@
 
 impl EntryCore {
     /// Logs how many lines were left out.
-    pub(super) fn tell_left_out(&mut self) {
+    pub(super) fn log_dropped_lines(&mut self) {
         if let Some(line) = self.log_budget.take_left_out() {
             self.actions.push(CoreAction::Log(line));
         }
