--- a/crates/bankvalve_queue/src/core/unheard.rs
+++ b/crates/bankvalve_queue/src/core/lost_contact.rs
@@ -3,7 +3,7 @@
 //! The last run of such a task is assumed to be still running there. `restart_waits` tracks tasks whose
 //! run has ended and that have not started again. [`TaskWaits`] counts both.
 //!
-//! This module decides nothing. About ten times a second, [`EntryCore::watch_waits`] scans the state on which
+//! This module decides nothing. About ten times a second, [`EntryCore::track_waits`] scans the state on which
 //! `lease_renewal` and `placement` base their decisions. It logs when a task starts or stops waiting and for
 //! which reason, and counts such tasks for the metrics. `belief_of` calculates for how long a worker that is
 //! out of contact may still run its tasks; its result must agree with `lease_renewal`.
@@ -11,11 +11,13 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use super::holds::UNCONFIRMED_LIMIT;
-use super::lead::LeadState;
+use super::lead_state::LeadState;
+use super::lease_renewal::UNCONFIRMED_LIMIT;
 use super::live_run::{LiveRun, RunPhase};
-use super::seat::{Seat, ANSWER_SLACK, CLOCK_SLACK, SILENT_LONG, SLOW_CLOCK_PERCENT};
 use super::task_waits::{StartWait, TaskWaits, WaitReason};
+use super::worker_state::{
+    WorkerState, ANSWER_SLACK, CLOCK_SLACK, SLOW_CLOCK_PERCENT, UNRESPONSIVE_AFTER,
+};
 use super::EntryCore;
 use crate::ids::{CoreTime, RunId, StepKey, TaskKey, WorkerId};
 use crate::ledger::{JobOutcome, JobRecord, TaskPhase};
@@ -63,11 +65,11 @@
 
 /// Waiting tasks that a leader tracks.
 #[derive(Debug, Default)]
-pub(super) struct WaitSight {
+pub(super) struct WaitTracker {
     /// Time of the first scan by this leader, which has read the entire ledger by then.
     first_look: Option<CoreTime>,
     next_look: CoreTime,
-    unheard: BTreeMap<TaskKey, UnheardRun>,
+    lost_contact: BTreeMap<TaskKey, UnheardRun>,
     pub(super) ended: BTreeMap<TaskKey, EndedRun>,
 }
 
@@ -79,7 +81,7 @@
     until: Option<CoreTime>,
 }
 
-impl WaitSight {
+impl WaitTracker {
     /// Records that a run ended without success.
     pub(super) fn note_end(&mut self, task: TaskKey, run: RunId, now: CoreTime) {
         let ended = EndedRun {
@@ -93,17 +95,22 @@
 
     /// Stops tracking a run, and returns the text for the log line on its end: for how long its worker was
     /// out of contact, and the last reason for the wait. It is empty if the worker was in contact.
-    pub(super) fn take_unheard(&mut self, task: &TaskKey, run: RunId, now: CoreTime) -> String {
-        let is_meant = |unheard: &UnheardRun| unheard.run == run;
-        if !self.unheard.get(task).is_some_and(is_meant) {
+    pub(super) fn take_lost_contact_text(
+        &mut self,
+        task: &TaskKey,
+        run: RunId,
+        now: CoreTime,
+    ) -> String {
+        let is_meant = |lost_contact: &UnheardRun| lost_contact.run == run;
+        if !self.lost_contact.get(task).is_some_and(is_meant) {
             return String::new();
         }
-        let unheard = self.unheard.remove(task);
-        unheard.map_or_else(String::new, |unheard| {
-            let waited = rounded(now.saturating_sub(unheard.since));
+        let lost_contact = self.lost_contact.remove(task);
+        lost_contact.map_or_else(String::new, |lost_contact| {
+            let waited = rounded(now.saturating_sub(lost_contact.since));
             format!(
                 ", unheard for {waited:?}, at last by {}",
-                unheard.reason.as_str()
+                lost_contact.reason.as_str()
             )
         })
     }
@@ -127,10 +134,10 @@
     /// Returns the counts, and the longest waits up to `now`.
     fn waits(&self, now: CoreTime) -> TaskWaits {
         let mut waits = TaskWaits::default();
-        for unheard in self.unheard.values() {
-            waits.unheard[unheard.reason as usize] += 1;
-            let age = now.saturating_sub(unheard.since);
-            waits.oldest_unheard = waits.oldest_unheard.max(Some(age));
+        for lost_contact in self.lost_contact.values() {
+            waits.lost_contact[lost_contact.reason as usize] += 1;
+            let age = now.saturating_sub(lost_contact.since);
+            waits.oldest_lost_contact = waits.oldest_lost_contact.max(Some(age));
         }
         for ended in self.ended.values() {
             if let Some(reason) = ended.reason {
@@ -143,12 +150,12 @@
     }
 }
 
-impl Seat {
+impl WorkerState {
     /// Returns when every lease that this leader renewed has expired, or `None` if the worker's clock is not
     /// known.
-    fn hold_over_at(&self) -> Option<CoreTime> {
+    fn lease_expires_at(&self) -> Option<CoreTime> {
         let (at, reading) = self.clock?;
-        let left = Duration::from_millis(self.granted_until.saturating_sub(reading));
+        let left = Duration::from_millis(self.lease_until.saturating_sub(reading));
         Some(at + CLOCK_SLACK + left * 100 / (100 - SLOW_CLOCK_PERCENT))
     }
 
@@ -167,7 +174,7 @@
             (false, None) => "entry never seen by this leader".to_owned(),
         };
         let silent = rounded(now.saturating_sub(since));
-        let heard = if self.heard_at.is_some() {
+        let heard = if self.last_contact.is_some() {
             "silent for"
         } else {
             "not heard since this leader began, for"
@@ -185,27 +192,27 @@
     /// Returns the counts of tasks that have run before and do not run now, for the metrics.
     pub(super) fn task_waits(&self) -> TaskWaits {
         let lead = self.lead.as_deref();
-        lead.map_or_else(TaskWaits::default, |lead| lead.wait_sight.waits(self.now))
+        lead.map_or_else(TaskWaits::default, |lead| lead.wait_tracker.waits(self.now))
     }
 
     /// Scans what tasks wait for, if a scan is due, and logs changes.
-    pub(super) fn watch_waits(&mut self) {
+    pub(super) fn track_waits(&mut self) {
         let now = self.now;
         let Some(lead) = self.lead.as_deref_mut() else {
             return;
         };
-        let sight = &mut lead.wait_sight;
+        let sight = &mut lead.wait_tracker;
         if now < sight.next_look {
             return;
         }
-        let waiting = sight.unheard.len() + sight.ended.len();
+        let waiting = sight.lost_contact.len() + sight.ended.len();
         sight.next_look = now + LOOK_PACE + LOOK_EACH * waiting as u32;
         if sight.first_look.is_none() {
             sight.first_look = Some(now);
             self.adopt_ended();
         }
         self.watch_unheard();
-        self.watch_ended();
+        self.track_restart_waits();
     }
 
     /// Starts tracking tasks whose runs ended under a former leader.
@@ -226,7 +233,7 @@
                     for (index, task) in step.tasks.iter().enumerate() {
                         if task.phase == TaskPhase::Waiting && task.last_run > 0 {
                             let task_key = key.task(index as u32);
-                            lead.wait_sight.note_end(task_key, task.last_run, now);
+                            lead.wait_tracker.note_end(task_key, task.last_run, now);
                         }
                     }
                 }
@@ -243,31 +250,31 @@
         let Some(lead) = self.lead.as_deref_mut() else {
             return;
         };
-        let before = std::mem::take(&mut lead.wait_sight.unheard);
+        let before = std::mem::take(&mut lead.wait_tracker.lost_contact);
         let mut began = Vec::new();
-        for (task, (unheard, until)) in &found {
-            let known = before.get(task).filter(|old| old.run == unheard.run);
-            if known.is_none_or(|old| old.reason != unheard.reason) {
-                began.push((*task, unheard.clone(), *until));
+        for (task, (lost_contact, until)) in &found {
+            let known = before.get(task).filter(|old| old.run == lost_contact.run);
+            if known.is_none_or(|old| old.reason != lost_contact.reason) {
+                began.push((*task, lost_contact.clone(), *until));
             }
         }
         let is_over = |(task, old): &(TaskKey, UnheardRun)| {
             let still = found.get(task);
-            still.is_none_or(|(unheard, _)| unheard.run != old.run)
+            still.is_none_or(|(lost_contact, _)| lost_contact.run != old.run)
         };
         let over: Vec<(TaskKey, UnheardRun)> = before.into_iter().filter(is_over).collect();
-        lead.wait_sight.unheard = found
+        lead.wait_tracker.lost_contact = found
             .into_iter()
-            .map(|(task, (unheard, _))| (task, unheard))
+            .map(|(task, (lost_contact, _))| (task, lost_contact))
             .collect();
-        for (task, unheard, until) in began {
+        for (task, lost_contact, until) in began {
             if self.log_budget.may_log(now, "runs", "unheard") {
-                let detail = self.unheard_text(&unheard, until);
+                let detail = self.unheard_text(&lost_contact, until);
                 self.log("runs", "unheard", task.to_string(), detail);
             }
         }
-        for (task, unheard) in over {
-            self.tell_heard(task, &unheard);
+        for (task, lost_contact) in over {
+            self.tell_heard(task, &lost_contact);
         }
     }
 
@@ -277,46 +284,46 @@
         let now = self.now;
         let mut found = BTreeMap::new();
         let mut patience = None;
-        for (id, seat) in lead.seats.iter() {
-            let Some(since) = self.unheard_since(lead, seat) else {
+        for (id, state) in lead.worker_states.iter() {
+            let Some(since) = self.unheard_since(lead, state) else {
                 continue;
             };
-            let patience = *patience.get_or_insert_with(|| self.silence_patience(lead));
-            for (task, live) in &seat.runs {
+            let patience = *patience.get_or_insert_with(|| self.unresponsive_timeout(lead));
+            for (task, live) in &state.runs {
                 let waits = live.phase != RunPhase::Proposed && self.awaits_end(*task, live.run);
                 if !waits {
                     continue;
                 }
-                let belief = self.belief_of(id, seat, live, patience);
+                let belief = self.belief_of(id, state, live, patience);
                 // The run is about to be declared lost: its log line names the reason waited for until now.
-                let before = lead.wait_sight.unheard.get(task);
+                let before = lead.wait_tracker.lost_contact.get(task);
                 let over = belief.until.is_some_and(|until| until <= now);
                 let ends = over && belief.reason != WaitReason::Unconfirmed;
                 let reason = match before {
                     Some(before) if ends => before.reason,
                     _ => belief.reason,
                 };
-                let unheard = UnheardRun {
+                let lost_contact = UnheardRun {
                     worker: id.clone(),
                     run: live.run,
                     since,
                     reason,
                 };
-                found.insert(*task, (unheard, belief.until));
+                found.insert(*task, (lost_contact, belief.until));
             }
         }
         found
     }
 
     /// Returns since when a worker with runs is out of contact, or `None` if it is in contact.
-    fn unheard_since(&self, lead: &LeadState, seat: &Seat) -> Option<CoreTime> {
-        if seat.runs.is_empty() {
+    fn unheard_since(&self, lead: &LeadState, state: &WorkerState) -> Option<CoreTime> {
+        if state.runs.is_empty() {
             return None;
         }
-        let began = lead.wait_sight.first_look.unwrap_or(self.now);
-        let (since, usual) = match seat.heard_at {
-            Some(at) => (at, SILENT_LONG.max(seat.look_wait + ANSWER_SLACK)),
-            None => (began.max(seat.known_at), FIRST_ANSWER),
+        let began = lead.wait_tracker.first_look.unwrap_or(self.now);
+        let (since, usual) = match state.last_contact {
+            Some(at) => (at, UNRESPONSIVE_AFTER.max(state.poll_wait + ANSWER_SLACK)),
+            None => (began.max(state.known_at), FIRST_ANSWER),
         };
         // A worker's answer may be queued behind the event that is being handled.
         let seen = self.now.saturating_sub(self.lag);
@@ -335,25 +342,31 @@
     }
 
     /// Returns why a run on a worker that is out of contact is assumed to be running, and until when.
-    fn belief_of(&self, id: &WorkerId, seat: &Seat, live: &LiveRun, patience: Duration) -> Belief {
+    fn belief_of(
+        &self,
+        id: &WorkerId,
+        state: &WorkerState,
+        live: &LiveRun,
+        patience: Duration,
+    ) -> Belief {
         let now = self.now;
-        let (hold, over_at) = if seat.proved {
-            let taken = seat.proved_at + self.former_leaders.longest_hold();
-            let former = self.former_holds_over_at(id).min(taken);
+        let (hold, over_at) = if state.token_accepted {
+            let taken = state.token_accepted_at + self.former_leaders.longest_lease();
+            let former = self.former_leases_expire_at(id).min(taken);
             (
                 WaitReason::OwnHold,
-                seat.hold_over_at().map(|at| at.max(former)),
+                state.lease_expires_at().map(|at| at.max(former)),
             )
         } else {
-            let reason = if self.is_told_of(id) || self.former_leaders.are_known() {
+            let reason = if self.is_bounded_by_ledger(id) || self.former_leaders.are_known() {
                 WaitReason::FormerHoldKnown
             } else {
                 WaitReason::FormerHoldAssumed
             };
-            (reason, Some(self.former_holds_over_at(id)))
+            (reason, Some(self.former_leases_expire_at(id)))
         };
-        let patient_from = seat.heard_at.unwrap_or(seat.known_at);
-        let is_waited_for = seat.listed && live.may_end_well();
+        let patient_from = state.last_contact.unwrap_or(state.known_at);
+        let is_waited_for = state.listed && live.may_report_success();
         let patient_until = is_waited_for.then(|| patient_from + patience);
         let until = over_at.map(|at| patient_until.map_or(at, |patient| at.max(patient)));
         let over = over_at.is_some_and(|at| now > at);
@@ -368,17 +381,19 @@
     }
 
     /// Returns the log text on where and why a run is assumed to be running, and what would end the wait.
-    fn unheard_text(&self, unheard: &UnheardRun, until: Option<CoreTime>) -> String {
+    fn unheard_text(&self, lost_contact: &UnheardRun, until: Option<CoreTime>) -> String {
         let now = self.now;
-        let (run, worker) = (unheard.run, &unheard.worker);
+        let (run, worker) = (lost_contact.run, &lost_contact.worker);
         let lead = self.lead.as_deref();
-        let Some((lead, seat)) = lead.and_then(|lead| Some((lead, lead.seats.get(worker)?))) else {
+        let Some((lead, state)) =
+            lead.and_then(|lead| Some((lead, lead.worker_states.get(worker)?)))
+        else {
             return format!("run {run} on {worker}");
         };
-        let place = seat.unheard_text(now, unheard.since);
-        let reason = unheard.reason.as_str();
-        let why = self.reason_text(lead, worker, seat, unheard.reason);
-        let unsure = unheard.reason == WaitReason::Unconfirmed;
+        let place = state.unheard_text(now, lost_contact.since);
+        let reason = lost_contact.reason.as_str();
+        let why = self.reason_text(lead, worker, state, lost_contact.reason);
+        let unsure = lost_contact.reason == WaitReason::Unconfirmed;
         let end = match until.map(|until| rounded(until.saturating_sub(now))) {
             Some(left) if unsure => {
                 format!("once this leader is sure again, by itself in at most {left:?} from now")
@@ -386,7 +401,7 @@
             Some(left) => format!("by itself in at most {left:?}"),
             None => "not by itself, since its clock is not known".to_owned(),
         };
-        let asked = if seat.entry.address.is_empty() {
+        let asked = if state.entry.address.is_empty() {
             "it cannot be asked; ends "
         } else {
             "ends with its answer, another life at its address, or "
@@ -398,16 +413,16 @@
         &self,
         lead: &LeadState,
         id: &WorkerId,
-        seat: &Seat,
+        state: &WorkerState,
         reason: WaitReason,
     ) -> String {
         match reason {
             WaitReason::OwnHold => {
-                let reading = seat.clock.map_or(0, |(_, reading)| reading);
-                let asked = Duration::from_millis(seat.granted_until.saturating_sub(reading));
+                let reading = state.clock.map_or(0, |(_, reading)| reading);
+                let asked = Duration::from_millis(state.lease_until.saturating_sub(reading));
                 format!("asked until {asked:?} after its last answer by its clock")
             }
-            WaitReason::FormerHoldKnown if self.is_told_of(id) => {
+            WaitReason::FormerHoldKnown if self.is_bounded_by_ledger(id) => {
                 "the ledger has that no leader prolongs its hold".to_owned()
             }
             WaitReason::FormerHoldKnown => {
@@ -434,19 +449,20 @@
 
     /// Logs that a task no longer waits for a worker that was out of contact. If the run has ended, the log
     /// line on its end says so instead.
-    fn tell_heard(&mut self, task: TaskKey, unheard: &UnheardRun) {
+    fn tell_heard(&mut self, task: TaskKey, lost_contact: &UnheardRun) {
         let now = self.now;
-        let (run, worker) = (unheard.run, &unheard.worker);
+        let (run, worker) = (lost_contact.run, &lost_contact.worker);
         let lead = self.lead.as_deref();
-        let seat = lead.and_then(|lead| lead.seats.get(worker));
-        let heard = seat.is_some_and(|seat| seat.heard_at.is_some_and(|at| at > unheard.since));
+        let state = lead.and_then(|lead| lead.worker_states.get(worker));
+        let heard =
+            state.is_some_and(|state| state.last_contact.is_some_and(|at| at > lost_contact.since));
         let end = if heard {
             "its worker answers"
         } else {
             "the run is not waited for any more"
         };
-        let waited = rounded(now.saturating_sub(unheard.since));
-        let reason = unheard.reason.as_str();
+        let waited = rounded(now.saturating_sub(lost_contact.since));
+        let reason = lost_contact.reason.as_str();
         self.log_often("runs", "heard", || {
             let detail = format!(
                 "run {run} on {worker}: {end}, unheard for {waited:?}, at last by {reason}"
--- a/crates/bankvalve_queue/src/core/standby.rs
+++ b/crates/bankvalve_queue/src/core/member_ranks.rs
@@ -11,7 +11,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::election::PeerView;
-use super::yielding::reaches_table;
+use super::handover::reaches_table;
 use super::EntryCore;
 use crate::peer::PeerAddress;
 
@@ -62,7 +62,7 @@
     }
 
     /// The near members, with this one if it is near.
-    pub(super) fn near_members(&self) -> Vec<PeerAddress> {
+    pub(super) fn preferred_members(&self) -> Vec<PeerAddress> {
         let mut ranks: Vec<MemberRank> =
             self.ranked_peers().iter().map(|(rank, _)| *rank).collect();
         ranks.push(self.own_rank());
@@ -72,18 +72,18 @@
     }
 
     /// Tells whether this instance leads and a peer is far, on a site of many members.
-    pub(super) fn is_slow_pair(&self, peer: PeerAddress) -> bool {
-        self.lead.is_some() && self.has_many_members() && !self.near.contains(&peer)
+    pub(super) fn has_slow_heartbeat(&self, peer: PeerAddress) -> bool {
+        self.lead.is_some() && self.has_many_members() && !self.preferred.contains(&peer)
     }
 
     /// Members that are sent a heartbeat now; the far ones only when theirs is due.
     pub(super) fn heartbeat_targets(&self, far_due: bool, slow_due: bool) -> Vec<PeerAddress> {
-        let near = self.near_members();
-        let is_near = |address: &PeerAddress| near.contains(address);
+        let preferred = self.preferred_members();
+        let is_near = |address: &PeerAddress| preferred.contains(address);
         let own_near = is_near(&self.settings.address);
         let leads = self.lead.is_some();
         let leader = self.leader.as_ref().map(|leader| leader.address);
-        let (many, doubts) = (self.has_many_members(), self.doubts_leader());
+        let (many, doubts) = (self.has_many_members(), self.lacks_leader_contact());
         let pairs = |peer: &PeerAddress| {
             let near_pair = own_near && is_near(peer);
             let led_near = (leads && is_near(peer)) || (own_near && leader == Some(*peer));
@@ -100,9 +100,9 @@
     }
 
     /// Tells whether this member is among the first to take over, by rank.
-    pub(super) fn is_first_heir(&self) -> bool {
-        let near = self.near_members();
-        let first = &near[..near.len().min(FIRST_HEIRS)];
+    pub(super) fn is_first_successor(&self) -> bool {
+        let preferred = self.preferred_members();
+        let first = &preferred[..preferred.len().min(FIRST_HEIRS)];
         first.contains(&self.settings.address)
     }
 
@@ -117,34 +117,34 @@
     }
 
     /// Tells whether this member is not near while a near one lives that the table answers.
-    pub(super) fn is_behind_near_members(&self) -> bool {
-        let near = self.near_members();
+    pub(super) fn defers_to_preferred(&self) -> bool {
+        let preferred = self.preferred_members();
         let leader = self.leader.as_ref().map(|leader| leader.address);
         let fit = |address: &PeerAddress| {
             let peer = self.peers.get(address);
             let able = |peer: &PeerView| peer.is_live(self.now) && reaches_table(peer);
             Some(*address) != leader && peer.is_some_and(able)
         };
-        !near.contains(&self.settings.address) && near.iter().any(fit)
+        !preferred.contains(&self.settings.address) && preferred.iter().any(fit)
     }
 
     /// Members that may claim the lead before this one: near ones, and others.
     ///
     /// Of members that it hears often only those that are alive count; of the others, which a
     /// member that is not near does not hear, all do.
-    pub(super) fn members_before_own(&self) -> (u32, u32) {
+    pub(super) fn higher_ranked_members(&self) -> (u32, u32) {
         let own = self.own_rank();
-        let near = self.near_members();
-        let own_near = near.contains(&self.settings.address);
+        let preferred = self.preferred_members();
+        let own_near = preferred.contains(&self.settings.address);
         let leader = self.leader.as_ref().map(|leader| leader.address);
         let mut before = (0, 0);
         for ((strength, address), peer) in self.ranked_peers() {
-            if (strength, address) >= own || Some(address) == leader || peer.news.stopping {
+            if (strength, address) >= own || Some(address) == leader || peer.heartbeat.stopping {
                 continue;
             }
-            let starting = peer.heard_at.is_none() && self.age(peer.known_at) < STARTING;
+            let starting = peer.last_contact.is_none() && self.age(peer.known_at) < STARTING;
             let live = peer.is_live(self.now);
-            if !near.contains(&address) {
+            if !preferred.contains(&address) {
                 before.1 += 1;
             } else if live || starting || !own_near {
                 before.0 += 1;
--- a/crates/bankvalve_queue/src/core/members.rs
+++ b/crates/bankvalve_queue/src/core/members.rs
@@ -3,12 +3,12 @@
 use std::time::Duration;
 
 use super::election::{LeaderView, PeerView};
+use super::member_ranks::MemberRow;
 use super::round_trip::PeerEcho;
-use super::standby::MemberRow;
 use super::store_link::{StorePurpose, CELL_TABLE, LEAD_PART, MEMBER_PART};
 use super::EntryCore;
 use crate::ids::CoreTime;
-use crate::peer::{HeartbeatNews, PeerAddress, PeerMessage};
+use crate::peer::{HeartbeatBody, PeerAddress, PeerMessage};
 use crate::store::{RowKey, RowWrite, StoreOutcome, StoreRequest};
 
 /// Time between two heartbeats of near members; a takeover within about a second needs some four
@@ -54,7 +54,7 @@
             writes,
             removals: Vec::new(),
         };
-        self.ask_store(StorePurpose::Register, request);
+        self.send_store_request(StorePurpose::Register, request);
     }
 
     pub(super) fn end_register(&mut self, outcome: &StoreOutcome) {
@@ -62,10 +62,10 @@
         self.own_row.end(self.registered, self.now);
     }
 
-    pub(super) fn take_cell_row(&mut self, key: &RowKey, value: Option<&[u8]>, version: u64) {
+    pub(super) fn handle_cell_row(&mut self, key: &RowKey, value: Option<&[u8]>, version: u64) {
         if key.part == LEAD_PART {
             if let Some(value) = value {
-                self.take_leader_row(value, version);
+                self.handle_leader_row(value, version);
             }
             return;
         }
@@ -100,34 +100,35 @@
             return;
         }
         self.next_heartbeat = self.now + HEARTBEAT;
-        let far_due = self.now >= self.next_far_heartbeat;
+        let far_due = self.now >= self.next_other_heartbeat;
         if far_due {
-            self.next_far_heartbeat = self.now + FAR_HEARTBEAT;
+            self.next_other_heartbeat = self.now + FAR_HEARTBEAT;
         }
         let slow_due = self.now >= self.next_slow_heartbeat;
         if slow_due {
             self.next_slow_heartbeat = self.now + SLOW_HEARTBEAT;
         }
-        self.near = self.near_members();
-        let news = self.own_news();
+        self.preferred = self.preferred_members();
+        let news = self.build_heartbeat();
         for peer in self.heartbeat_targets(far_due, slow_due) {
-            let news = self.news_for(peer, &news);
-            self.tell(peer, PeerMessage::Heartbeat(news));
+            let news = self.heartbeat_for(peer, &news);
+            self.send_message(peer, PeerMessage::Heartbeat(news));
         }
         let wait = self.least_round_trip();
         if let Some(lead) = self.lead.as_deref_mut() {
-            lead.way_time = wait;
-            lead.load.note(self.now, wait.min(lead.link_time(self.now)));
+            lead.round_trip_time = wait;
+            lead.load
+                .note(self.now, wait.min(lead.link_delay(self.now)));
         }
-        self.tell_measures();
+        self.send_measurements();
         self.drop_gone_members();
     }
 
     /// What the own heartbeats tell now.
-    pub(super) fn own_news(&self) -> HeartbeatNews {
+    pub(super) fn build_heartbeat(&self) -> HeartbeatBody {
         let leader = self.leader.as_ref();
         let lead = self.lead.as_deref();
-        HeartbeatNews {
+        HeartbeatBody {
             life: self.settings.life,
             strength: self.settings.strength,
             epoch: self.highest_epoch,
@@ -136,14 +137,16 @@
             loading: lead.is_some_and(|lead| !lead.loaded),
             leader_age_ms: match (&self.lead, leader) {
                 (Some(_), _) => 0,
-                (None, Some(leader)) => self.age(leader.heard_at).as_millis() as u64,
+                (None, Some(leader)) => self.age(leader.last_contact).as_millis() as u64,
                 (None, None) => u64::MAX,
             },
             store_trouble: lead.is_some_and(|lead| lead.trouble_since.is_some()),
             probe_age_ms: self
                 .probe_answered
                 .map(|at| self.age(at).as_millis() as u64),
-            store_age_ms: self.store_heard.map(|at| self.age(at).as_millis() as u64),
+            store_age_ms: self
+                .store_last_contact
+                .map(|at| self.age(at).as_millis() as u64),
             applied: self.applied,
             table_version: self.table_version(),
             table_age_ms: self
@@ -154,7 +157,7 @@
             sent_ms: 0,
             echo: None,
             stopping: self.stopping,
-            hold_ms: self.hold_time().as_millis() as u64,
+            hold_ms: self.lease_duration().as_millis() as u64,
         }
     }
 
@@ -165,7 +168,7 @@
         // Members may have told only the leader before that they are alive.
         let began_at = lead.began_at;
         let silent = |peer: &PeerView| {
-            let since = peer.heard_at.unwrap_or(peer.known_at).max(began_at);
+            let since = peer.last_contact.unwrap_or(peer.known_at).max(began_at);
             self.now.saturating_sub(since) > DROP_MEMBER_AFTER
         };
         let gone = self.peers.iter().find(|(_, peer)| silent(peer));
@@ -180,16 +183,16 @@
             removals,
         };
         self.log("members", "drop", address.to_string(), String::new());
-        self.ask_store(StorePurpose::DropMember, request);
+        self.send_store_request(StorePurpose::DropMember, request);
     }
 
-    pub(super) fn take_heartbeat(&mut self, from: PeerAddress, news: HeartbeatNews) {
-        self.hear_of_table(from, news.table_version);
-        self.hear_of_newest(news.table_version, news.table_age_ms);
-        self.end_gift(from, news.table_version);
+    pub(super) fn handle_heartbeat(&mut self, from: PeerAddress, news: HeartbeatBody) {
+        self.note_announced_version(from, news.table_version);
+        self.note_newest_version(news.table_version, news.table_age_ms);
+        self.finish_outgoing_copy(from, news.table_version);
         if let Some(lead) = &self.lead {
             if news.epoch > lead.epoch {
-                self.depose("a peer knows a later epoch");
+                self.step_down("a peer knows a later epoch");
             }
         }
         if news.store_trouble {
@@ -197,44 +200,44 @@
         }
         self.hear_of_leader(from, &news);
         if news.leading {
-            self.hear_leader(from, &news);
+            self.note_leader_heartbeat(from, &news);
         } else if self.is_gone_leader(from, &news) {
-            self.lose_leader();
+            self.mark_leader_gone();
             if let Some(leader) = self.leader.as_mut() {
                 leader.ended |= news.life > leader.life;
             }
         }
         let now = self.now;
         self.former_leaders.note_heartbeat(from, &news, now);
-        let slow = self.is_slow_pair(from);
+        let slow = self.has_slow_heartbeat(from);
         let peer = self.peers.entry(from).or_insert_with(|| PeerView {
             known_at: now,
             ..PeerView::default()
         });
-        if peer.news.life != news.life {
+        if peer.heartbeat.life != news.life {
             // What an earlier life heard says nothing of this one.
             peer.echo = PeerEcho::default();
         }
         let doubt = slow && news.leader_age_ms > LEADER_DOUBT.as_millis() as u64;
-        let first = peer.heard_at.is_none() || doubt;
-        peer.heard_at = Some(now);
+        let first = peer.last_contact.is_none() || doubt;
+        peer.last_contact = Some(now);
         peer.strength = news.strength;
         peer.slow = slow;
         peer.echo.note(now, &news);
-        peer.news = news;
-        self.note_unheard_leaders();
+        peer.heartbeat = news;
+        self.note_unreachable_leaders();
         if first && self.lead.is_some() {
             // It should not have to wait for the next heartbeat to know who leads.
-            let news = self.news_for(from, &self.own_news());
-            self.tell(from, PeerMessage::Heartbeat(news));
+            let news = self.heartbeat_for(from, &self.build_heartbeat());
+            self.send_message(from, PeerMessage::Heartbeat(news));
         }
     }
 
     /// Takes from a near member how lately it heard the leader, on a site of many members.
     ///
     /// Near members hear the leader themselves: what they hear of it must not come back to them.
-    fn hear_of_leader(&mut self, from: PeerAddress, news: &HeartbeatNews) {
-        if !self.is_far_of_many() || !self.near.contains(&from) || news.leading {
+    fn hear_of_leader(&mut self, from: PeerAddress, news: &HeartbeatBody) {
+        if !self.is_behind_hubs() || !self.preferred.contains(&from) || news.leading {
             return;
         }
         let at = self
@@ -245,14 +248,14 @@
         };
         let same = news.leader == Some(leader.address) && news.epoch == leader.epoch;
         if same && !leader.gone {
-            leader.heard_at = leader.heard_at.max(at);
+            leader.last_contact = leader.last_contact.max(at);
             leader.refuse_percent = news.refuse_percent;
         }
     }
 
     /// Tells whether the leader is to be asked for a sign of life.
-    pub(super) fn doubts_leader(&self) -> bool {
-        let heard = |leader: &LeaderView| self.age(leader.heard_at) < LEADER_DOUBT;
+    pub(super) fn lacks_leader_contact(&self) -> bool {
+        let heard = |leader: &LeaderView| self.age(leader.last_contact) < LEADER_DOUBT;
         !self.leader.as_ref().is_some_and(heard)
     }
 
@@ -271,7 +274,7 @@
         }
         if let Some(view) = self.peers.get_mut(&peer) {
             if refused {
-                view.heard_at = None;
+                view.last_contact = None;
                 view.known_at = view
                     .known_at
                     .max(self.now.saturating_sub(DROP_MEMBER_AFTER / 2));
@@ -279,16 +282,16 @@
         }
         self.reassign_advice(peer);
         if refused {
-            self.lose_carrier(peer);
+            self.remove_proxy(peer);
         }
-        self.lose_giver(peer);
+        self.drop_source(peer);
         let leads = self.lead.is_none()
             && self
                 .leader
                 .as_ref()
                 .is_some_and(|leader| leader.address == peer);
         if refused && leads {
-            self.lose_leader();
+            self.mark_leader_gone();
         }
     }
 
@@ -305,7 +308,7 @@
     /// Tells whether the peer was heard so lately that it counts as alive.
     pub(super) fn is_live(&self, now: CoreTime) -> bool {
         let alive = if self.slow { SLOW_ALIVE } else { PEER_ALIVE };
-        self.heard_at
+        self.last_contact
             .is_some_and(|at| now.saturating_sub(at) < alive)
     }
 }
--- a/crates/bankvalve_queue/src/core/mod.rs
+++ b/crates/bankvalve_queue/src/core/mod.rs
@@ -2,69 +2,69 @@
 //!
 //! `members` hears peers, `standby` ranks them, `election` and `yielding`
 //! decide who leads, `commit`, `read_back`, `confirm` and `withdraw` keep the
-//! ledger, `callers` answers requests, `book_reads` from a follower's book, `submissions` takes
+//! ledger, `callers` answers requests, `follower_reads` from a follower's book, `submissions` takes
 //! jobs up, `holds`, `reports`, `orders` and `overdue` deal with workers, `advice` asks the policy service, `placing`
-//! decides which task runs where, and `making_room` what gives way to it; `returning` has
+//! decides which task runs where, and `making_room` what gives way to it; `restarting` has
 //! both at hand for tasks that last. `sight`
 //! tells how the instance stands, `unheard` and `restarts` why tasks do not run that did.
 //! `incarnation` tells the processes of a worker apart.
-//! `former_leaders` and `stopped_holds` tell until when holds of leaders before may last.
+//! `former_leaders` and `stopped_leases` tell until when holds of leaders before may last.
 //! `table_watch` and `table_pull` have the operator's configuration, `denials` what is not in it.
 //! `customer_access` tells which jobs a customer may see, `customer_limits` what it may have running,
 //! `customer_shares` what comes after the others' jobs.
 
 mod advice;
-mod away;
-mod book_reads;
+mod call_proxies;
 mod callers;
-mod carriers;
-mod choosing;
+mod capacity_reclaim;
 mod commit;
-mod confirm;
 mod customer_access;
 mod customer_limits;
 mod customer_shares;
 mod denials;
 mod election;
 mod entry_core;
-mod following;
+mod follower;
+mod follower_reads;
 mod former_leaders;
-mod holds;
+mod handover;
 mod hubs;
 mod incarnation;
-mod lead;
+mod job_withdrawal;
+mod lead_confirmation;
+mod lead_state;
+mod leader_absence;
+mod lease_renewal;
 mod ledger_page;
 mod live_run;
 mod load_limit;
 mod log_budget;
-mod making_room;
+mod lost_contact;
+mod member_ranks;
 mod members;
 mod orders;
-mod overdue;
-mod placing;
-mod questions;
+mod overdue_runs;
+mod placement;
 mod read_back;
-mod reports;
-mod restarts;
-mod returning;
+mod readiness;
+mod restart_deadline;
+mod restart_preparation;
+mod restart_waits;
 mod round_trip;
-mod seat;
-mod seat_list;
-mod seat_map;
-mod sight;
-mod standby;
-mod stopped_holds;
+mod stopped_leases;
 mod store_link;
+mod store_requests;
 mod submissions;
 mod suspects;
 mod table_pull;
 mod table_watch;
 mod task_waits;
-mod unheard;
-mod waiting;
-mod withdraw;
-mod without_leader;
-mod yielding;
+mod waiting_steps;
+mod worker_entries;
+mod worker_map;
+mod worker_reports;
+mod worker_selection;
+mod worker_state;
 
 pub use entry_core::{CoreAction, CoreEvent, EntryCore, EntrySettings};
 pub use task_waits::{StartWait, TaskWaits, WaitReason};
--- a/crates/bankvalve_queue/src/core/orders.rs
+++ b/crates/bankvalve_queue/src/core/orders.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 
-use super::holds::PROLONG_IF_HEARD;
-use super::lead::CallPurpose;
+use super::lead_state::CallPurpose;
+use super::lease_renewal::RENEW_WITHIN;
 use super::live_run::{LiveRun, RunPhase};
 use super::EntryCore;
 use crate::guard::SiteGuard;
@@ -61,7 +61,7 @@
         live.phase = RunPhase::Ordered;
         live.ordered_at = Some(now);
         let wait = now.saturating_sub(live.began);
-        lead.note_order_wait(wait);
+        lead.note_order_delay(wait);
         self.send_start(&worker, task);
     }
 
@@ -86,7 +86,7 @@
 
     fn send_start(&mut self, id: &WorkerId, task: TaskKey) {
         let now = self.now;
-        let bound = self.hold_bound();
+        let bound = self.lease_bound();
         if !self.has_room_now(id, task) {
             return;
         }
@@ -104,28 +104,28 @@
         };
         let saved = job.task(task).map(|task| task.saved.clone());
         let spec = job.spec.clone();
-        let Some(seat) = self
+        let Some(state) = self
             .lead
             .as_deref_mut()
-            .and_then(|lead| lead.seats.get_mut(id))
+            .and_then(|lead| lead.worker_states.get_mut(id))
         else {
             return;
         };
-        let Some(until_ms) = seat.hold_until(bound) else {
+        let Some(until_ms) = state.lease_deadline(bound) else {
             return;
         };
         // A silent worker's hold must run out, or what it may run is never given up.
-        let until_ms = if seat.may_prolong(now, PROLONG_IF_HEARD) {
+        let until_ms = if state.may_renew_lease(now, RENEW_WITHIN) {
             until_ms
         } else {
-            seat.granted_until
+            state.lease_until
         };
-        seat.granted_until = seat.granted_until.max(until_ms);
-        if seat.open_starts() >= STARTS_AT_ONCE {
+        state.lease_until = state.lease_until.max(until_ms);
+        if state.starts_in_flight() >= STARTS_AT_ONCE {
             // The answer to one of them sends the next.
             return;
         }
-        let Some(live) = seat.runs.get_mut(&task) else {
+        let Some(live) = state.runs.get_mut(&task) else {
             return;
         };
         live.busy = true;
@@ -151,30 +151,30 @@
     /// What would come on top of it is not sent, or stopped if it may be on its way. While it is not
     /// known what the workers say of themselves now, it waits.
     fn has_room_now(&mut self, id: &WorkerId, task: TaskKey) -> bool {
-        if !self.keeps(SiteGuard::RoomOfNow) {
+        if !self.enforces(SiteGuard::RoomOfNow) {
             return true;
         }
         let now = self.now;
         let list_age = self.worker_list_at.map(|at| now.saturating_sub(at));
-        let wanted = self.room_of(task);
+        let wanted = self.resources_of(task);
         let Some(lead) = self.lead.as_deref_mut() else {
             return false;
         };
-        let Some(seat) = lead.seats.get_mut(id) else {
+        let Some(state) = lead.worker_states.get_mut(id) else {
             return false;
         };
-        let has_own_entry = seat.has_own_entry();
-        let Some(live) = seat.runs.get_mut(&task) else {
+        let entry_is_current = state.entry_is_current();
+        let Some(live) = state.runs.get_mut(&task) else {
             return false;
         };
-        if list_age.is_none_or(|age| age >= LIST_AGE) || !has_own_entry {
+        if list_age.is_none_or(|age| age >= LIST_AGE) || !entry_is_current {
             live.next_at = now + LIST_PAUSE;
             lead.have_order_due(now + LIST_PAUSE, id, task);
             return false;
         }
         // A suspect has the whole worker by the book, and takes what its step does.
-        let used = seat.used.minus(&live.room).plus(&wanted);
-        if used.fits(&seat.entry.room) {
+        let used = state.used.minus(&live.resources).plus(&wanted);
+        if used.fits(&state.entry.room) {
             return true;
         }
         self.take_start_back(id, task, "room_shrunk", "its worker's room has shrunk");
@@ -218,13 +218,16 @@
     /// Sends starts that waited for others to the same worker.
     fn send_waiting_starts(&mut self, id: &WorkerId) {
         let now = self.now;
-        let seat = self.lead.as_ref().and_then(|lead| lead.seats.get(id));
+        let state = self
+            .lead
+            .as_ref()
+            .and_then(|lead| lead.worker_states.get(id));
         let waits = |live: &LiveRun| {
             live.phase == RunPhase::Ordered && !live.busy && live.tries == 0 && now >= live.next_at
         };
-        let waiting: Vec<TaskKey> = seat
+        let waiting: Vec<TaskKey> = state
             .into_iter()
-            .flat_map(|seat| &seat.runs)
+            .flat_map(|state| &state.runs)
             .filter(|(_, live)| waits(live))
             .map(|(task, _)| *task)
             .take(STARTS_AT_ONCE)
@@ -239,10 +242,10 @@
         let Some(lead) = self.lead.as_deref_mut() else {
             return;
         };
-        let Some(seat) = lead.seats.get_mut(id) else {
+        let Some(state) = lead.worker_states.get_mut(id) else {
             return;
         };
-        let Some(live) = seat.runs.get_mut(&task).filter(|live| live.run == run) else {
+        let Some(live) = state.runs.get_mut(&task).filter(|live| live.run == run) else {
             return;
         };
         live.busy = false;
@@ -298,7 +301,7 @@
             }
         );
         if *answer == WorkerAnswer::Unwell {
-            seat.resting_until = seat.resting_until.max(now + UNWELL_REST);
+            state.backoff_until = state.backoff_until.max(now + UNWELL_REST);
         }
         self.counters.count("order_refusals", why);
         self.log(
@@ -320,7 +323,7 @@
     /// Stops a run; its end, or its absence from the lists, frees the room.
     pub(super) fn begin_stop_run(&mut self, id: &WorkerId, task: TaskKey) {
         let now = self.now;
-        let counts = self.keeps(SiteGuard::StopsCount);
+        let counts = self.enforces(SiteGuard::StopsCount);
         let Some(lead) = self.lead.as_deref_mut() else {
             return;
         };
@@ -340,12 +343,12 @@
         if counts {
             return;
         }
-        let seat = self
+        let state = self
             .lead
             .as_deref_mut()
-            .and_then(|lead| lead.seats.get_mut(id));
-        if let Some(seat) = seat {
-            seat.free_room(&task);
+            .and_then(|lead| lead.worker_states.get_mut(id));
+        if let Some(state) = state {
+            state.release_resources(&task);
         }
     }
 
@@ -367,9 +370,9 @@
         let Some(lead) = self.lead.as_deref() else {
             return;
         };
-        for (id, seat) in lead.seats.iter() {
+        for (id, state) in lead.worker_states.iter() {
             let waits = |live: &LiveRun| !live.busy && now >= live.next_at;
-            let waiting = seat.runs.iter().filter(|(_, live)| waits(live));
+            let waiting = state.runs.iter().filter(|(_, live)| waits(live));
             due.extend(waiting.map(|(task, _)| (id.clone(), *task)));
         }
         due.sort_unstable();
--- a/crates/bankvalve_queue/src/core/overdue.rs
+++ b/crates/bankvalve_queue/src/core/overdue_runs.rs
@@ -153,7 +153,7 @@
             return Duration::ZERO;
         };
         let lead = self.lead.as_deref();
-        let error = lead.and_then(|lead| lead.guess_error.get(&job.spec.queue));
+        let error = lead.and_then(|lead| lead.estimate_error.get(&job.spec.queue));
         Duration::from_millis(step.estimate_ms).mul_f64(error.copied().unwrap_or(0.0).exp())
     }
 
@@ -166,8 +166,8 @@
             return;
         };
         *lead.moves.entry(task).or_default() += 1;
-        if let Some(seat) = lead.seats.get_mut(id) {
-            seat.resting_until = seat.resting_until.max(now + OVERDUE_REST);
+        if let Some(state) = lead.worker_states.get_mut(id) {
+            state.backoff_until = state.backoff_until.max(now + OVERDUE_REST);
         }
         self.begin_stop_run(id, task);
     }
@@ -175,5 +175,5 @@
 
 /// Tells whether a run may be stopped and started elsewhere to end sooner.
 fn may_move(live: &LiveRun) -> bool {
-    live.urgent && !live.together && matches!(live.phase, RunPhase::Running { .. })
+    live.urgent && !live.must_not_move && matches!(live.phase, RunPhase::Running { .. })
 }
--- a/crates/bankvalve_queue/src/core/placing.rs
+++ b/crates/bankvalve_queue/src/core/placement.rs
@@ -4,13 +4,15 @@
 use std::time::Duration;
 
 use super::advice::StepAdvice;
-use super::choosing::{admits, admitting, choose, first_question, unknown_with_room, workers_of};
 use super::commit::Effect;
 use super::live_run::{LiveRun, RunPhase};
-use super::returning::sees_to;
-use super::seat::{Reservation, Seat};
-use super::suspects::{SuspectStand, TrialTurn};
-use super::waiting::{Lateness, WaitingRank, FIRST_RANK};
+use super::restart_preparation::is_prepared_restart;
+use super::suspects::{SuspectHistory, TrialMode};
+use super::waiting_steps::{Lateness, WaitingRank, FIRST_RANK};
+use super::worker_selection::{
+    choose, eligible_workers, first_advice_request, is_eligible, unasked_with_capacity, workers_of,
+};
+use super::worker_state::{Reservation, WorkerState};
 use super::EntryCore;
 use crate::customer::CustomerName;
 use crate::ids::{CoreTime, RunId, StepKey, TaskKey, WorkerId};
@@ -44,7 +46,7 @@
 const BEYOND_PRIORITY: u32 = 1_000;
 
 /// A step that is being placed.
-pub(super) struct PlacedStep {
+pub(super) struct StepToPlace {
     pub(super) key: StepKey,
     pub(super) spec: StepSpec,
     pub(super) service: String,
@@ -52,13 +54,13 @@
     pub(super) rule: Option<AdviceRule>,
     pub(super) tasks: Vec<TaskKey>,
     run: RunId,
-    pub(super) room: TaskSize,
+    pub(super) resources: TaskSize,
     pub(super) priority: u32,
     pub(super) urgent: bool,
     /// Whether it prefers workers that were measured as fast.
     pub(super) fast_first: bool,
     /// Whether it prefers workers whose last run did not fail.
-    pub(super) proved_first: bool,
+    pub(super) healthy_first: bool,
     /// Tasks among them that are suspects and start where nothing else runs.
     alone: Vec<TaskKey>,
     /// Tasks among them that are suspects and start where nothing else that is new runs.
@@ -67,16 +69,16 @@
     pub(super) tried_on: Vec<WorkerId>,
     /// Whether a task among them lasts and has been away for too long, so that workers that rest are
     /// taken as well.
-    pub(super) pressed: bool,
+    pub(super) past_deadline: bool,
 }
 
 /// Tasks to be placed, those among them that start alone, and those that start apart from new runs.
 type TrialTasks = (Vec<TaskKey>, Vec<TaskKey>, Vec<TaskKey>);
 
 /// Choice of workers for tasks of a step.
-pub(super) type Choice = Vec<(TaskKey, WorkerId)>;
+pub(super) type Assignment = Vec<(TaskKey, WorkerId)>;
 
-impl PlacedStep {
+impl StepToPlace {
     /// Most tasks of the step on one worker.
     pub(super) fn worker_limit(&self) -> usize {
         match self.spec.per_worker_limit {
@@ -86,11 +88,11 @@
     }
 
     /// Room that a task takes on a worker.
-    pub(super) fn room_of(&self, task: &TaskKey, seat: &Seat) -> TaskSize {
+    pub(super) fn resources_of(&self, task: &TaskKey, state: &WorkerState) -> TaskSize {
         if self.alone.contains(task) {
-            seat.entry.room
+            state.entry.room
         } else {
-            self.room
+            self.resources
         }
     }
 
@@ -100,21 +102,21 @@
     }
 
     /// Whether a task may go to a worker for what else runs there.
-    pub(super) fn may_join(&self, task: &TaskKey, seat: &Seat, now: CoreTime) -> bool {
-        !self.apart.contains(task) || !seat.has_new_run(now)
+    pub(super) fn may_join(&self, task: &TaskKey, state: &WorkerState, now: CoreTime) -> bool {
+        !self.apart.contains(task) || !state.has_new_run(now)
     }
 
     /// Whether none of its tasks is tried apart from others.
-    pub(super) fn is_among_others(&self) -> bool {
+    pub(super) fn has_no_trials(&self) -> bool {
         !self.has_trials()
     }
 
     /// Room that each of its tasks takes on a worker; of a gang, that of the others than suspects.
-    pub(super) fn room_on(&self, seat: &Seat) -> TaskSize {
+    pub(super) fn resources_on(&self, state: &WorkerState) -> TaskSize {
         if self.alone.len() == self.tasks.len() {
-            seat.entry.room
+            state.entry.room
         } else {
-            self.room
+            self.resources
         }
     }
 }
@@ -124,7 +126,7 @@
         let now = self.now;
         let by_time = self.uses(PolicySwitch::LatestStart);
         // Without a configuration no customer's limit is known.
-        let blocked = self.store_is_away() || !self.may_command() || self.table.is_none();
+        let blocked = self.store_is_unavailable() || !self.may_command() || self.table.is_none();
         let Some(lead) = self.lead.as_deref_mut() else {
             return;
         };
@@ -132,17 +134,17 @@
             return;
         }
         let idle = now.saturating_sub(lead.place_at) < PLACE_IDLE;
-        if !lead.stale && idle {
+        if !lead.placement_due && idle {
             return;
         }
-        lead.stale = false;
+        lead.placement_due = false;
         lead.place_at = now + PLACE_PACE;
         let wall = self.wall;
         let mut ranked: Vec<(WaitingRank, StepKey)> = lead
             .waiting
             .iter()
             .map(|(key, step)| {
-                let returns = lead.returning.contains_key(key);
+                let returns = lead.restarting.contains_key(key);
                 let rank = if returns {
                     FIRST_RANK
                 } else {
@@ -160,14 +162,14 @@
         };
         ranked.truncate(LOOK_LIMIT);
         lead.place_at += PLACE_EACH * ranked.len() as u32;
-        let most = lead.most_room();
+        let most = lead.max_free();
         let looked = ranked.len() as u64;
         self.counters
             .count_many("placements", "steps_looked_at", looked);
         for (_, key) in ranked {
             if !self.may_fit(key, &most) {
-                self.note_room_wait(key);
-                if !self.may_make_room(key) {
+                self.note_capacity_wait(key);
+                if !self.may_reclaim_capacity(key) {
                     continue;
                 }
             }
@@ -180,9 +182,9 @@
 
     /// Steps whose tasks were just placed leave the waiting ones.
     fn refresh_touched_steps(&mut self) {
-        self.refresh_touched();
+        self.refresh_dirty_jobs();
         if let Some(lead) = self.lead.as_deref_mut() {
-            lead.stale = false;
+            lead.placement_due = false;
         }
     }
 
@@ -190,10 +192,10 @@
     fn may_fit(&self, key: StepKey, most: &TaskSize) -> bool {
         let job = self.book.job(key.job);
         let spec = job.and_then(|job| job.spec.steps.get(usize::from(key.step)));
-        spec.is_some_and(|spec| spec.room().fits(most))
+        spec.is_some_and(|spec| spec.resources().fits(most))
     }
 
-    fn step_to_place(&mut self, key: StepKey) -> Option<PlacedStep> {
+    fn step_to_place(&mut self, key: StepKey) -> Option<StepToPlace> {
         let tasks = self.tasks_to_place(key)?;
         let mut step = self.placed_step(key, tasks)?;
         if let Some(customer) = &step.customer {
@@ -205,20 +207,20 @@
     }
 
     /// A step with tasks that are to start among others, whether they wait yet or not.
-    pub(super) fn due_step(&self, key: StepKey, tasks: Vec<TaskKey>) -> Option<PlacedStep> {
+    pub(super) fn due_step(&self, key: StepKey, tasks: Vec<TaskKey>) -> Option<StepToPlace> {
         self.placed_step(key, (tasks, Vec::new(), Vec::new()))
     }
 
-    fn placed_step(&self, key: StepKey, tasks: TrialTasks) -> Option<PlacedStep> {
+    fn placed_step(&self, key: StepKey, tasks: TrialTasks) -> Option<StepToPlace> {
         let (tasks, alone, apart) = tasks;
         let job = self.book.job(key.job)?;
         let spec = job.spec.steps.get(usize::from(key.step))?.clone();
         let record = job.step(key)?;
         let waits = |task: &TaskKey| record.tasks.get(task.index as usize);
-        let pressed = tasks
+        let past_deadline = tasks
             .iter()
             .filter_map(waits)
-            .any(|task| self.is_pressed(&spec, task));
+            .any(|task| self.is_past_restart_deadline(&spec, task));
         let queue = self
             .table
             .as_ref()
@@ -231,7 +233,7 @@
         let ends = counts.filter_map(TaskRecord::crash_count);
         let tried_on = ends.flat_map(|count| count.ends().iter().map(|end| end.worker.clone()));
         let tried_on = tried_on.collect();
-        let mut step = PlacedStep {
+        let mut step = StepToPlace {
             key,
             service: terms.service.clone(),
             customer: job.spec.customer.clone(),
@@ -241,21 +243,23 @@
                 .saturating_add(if beyond { BEYOND_PRIORITY } else { 0 }),
             urgent: terms.priority == 0 && !beyond,
             fast_first: terms.priority == 0 && !beyond && self.uses(PolicySwitch::FastWorkers),
-            proved_first: spec.gang
+            healthy_first: spec.gang
                 && terms.attempts <= FEW_ATTEMPTS
                 && self.uses(PolicySwitch::ProvedWorkers),
-            room: spec.room(),
+            resources: spec.resources(),
             run: record.last_run() + 1,
             spec,
             tasks,
             alone,
             apart,
             tried_on,
-            pressed,
+            past_deadline,
         };
         // On a site that has no other worker for it, it is tried there again.
-        let mut seats = lead.iter().flat_map(|lead| lead.seats.iter());
-        if !step.tried_on.is_empty() && !seats.any(|entry| admits(entry, &step, self.now)) {
+        let mut worker_states = lead.iter().flat_map(|lead| lead.worker_states.iter());
+        if !step.tried_on.is_empty()
+            && !worker_states.any(|entry| is_eligible(entry, &step, self.now))
+        {
             step.tried_on.clear();
         }
         Some(step)
@@ -272,10 +276,12 @@
         let waiting: Vec<_> = waiting
             .filter(|(_, task)| task.phase == TaskPhase::Waiting)
             .collect();
-        let pressed = |task: &TaskRecord| self.is_pressed(spec, task);
-        let whole = gang && waiting.iter().any(|(_, task)| pressed(task));
-        let is_grave = |task: &TaskRecord| task.crash_count().is_some_and(CrashCount::is_grave);
-        let in_a_hurry = |task: &TaskRecord| (whole || pressed(task)) && !is_grave(task);
+        let past_deadline = |task: &TaskRecord| self.is_past_restart_deadline(spec, task);
+        let whole = gang && waiting.iter().any(|(_, task)| past_deadline(task));
+        let must_be_isolated =
+            |task: &TaskRecord| task.crash_count().is_some_and(CrashCount::must_be_isolated);
+        let in_a_hurry =
+            |task: &TaskRecord| (whole || past_deadline(task)) && !must_be_isolated(task);
         let is_tried = |task: &TaskRecord| task.is_suspect() && !in_a_hurry(task);
         let (suspects, others): (Vec<_>, Vec<_>) =
             waiting.into_iter().partition(|(_, task)| is_tried(task));
@@ -286,44 +292,44 @@
         if suspects.is_empty() || !(gang || others.is_empty()) {
             return (!others.is_empty()).then(|| (keys(&others), Vec::new(), Vec::new()));
         }
-        let hurried = |task: &TaskRecord| whole || pressed(task);
-        let stand = SuspectStand::of(suspects.iter().map(|(_, task)| (*task, hurried(task))));
+        let hurried = |task: &TaskRecord| whole || past_deadline(task);
+        let stand = SuspectHistory::of(suspects.iter().map(|(_, task)| (*task, hurried(task))));
         let tried = keys(if gang { &suspects } else { &suspects[..1] });
         let tasks = if gang {
             [tried.clone(), keys(&others)].concat()
         } else {
             tried.clone()
         };
-        match self.turn_of(key, stand) {
-            TrialTurn::Alone => Some((tasks, tried, Vec::new())),
-            TrialTurn::Apart => Some((tasks, Vec::new(), tried)),
-            TrialTurn::Among => Some((tasks, Vec::new(), Vec::new())),
-            TrialTurn::Later => None,
+        match self.trial_mode(key, stand) {
+            TrialMode::Isolated => Some((tasks, tried, Vec::new())),
+            TrialMode::ApartFromNew => Some((tasks, Vec::new(), tried)),
+            TrialMode::AmongOthers => Some((tasks, Vec::new(), Vec::new())),
+            TrialMode::Deferred => None,
         }
     }
 
-    fn place_step(&mut self, step: &PlacedStep) {
+    fn place_step(&mut self, step: &StepToPlace) {
         let now = self.now;
         let Some(lead) = self.lead.as_deref() else {
             return;
         };
-        let kept_at = now + lead.time_to_keep();
+        let kept_at = now + lead.time_to_commit();
         let empty = StepAdvice::default();
         let advice = lead.advice.get(&step.key).unwrap_or(&empty);
         let Some(rule) = step.rule else {
-            let choice = choose(step, &admitting(lead, step, now), now);
+            let choice = choose(step, &eligible_workers(lead, step, now), now);
             let placed = choice.len();
-            let returns = sees_to(lead, step);
+            let returns = is_prepared_restart(lead, step);
             self.start_choice(step, choice);
             if !returns {
                 self.settle_room(step, placed);
             }
             return;
         };
-        if sees_to(lead, step) {
+        if is_prepared_restart(lead, step) {
             let permitted = advice.permitted(kept_at).filter_map(|id| {
-                let seat = lead.seats.get(id)?;
-                admits((id, seat), step, now).then_some((id, seat))
+                let state = lead.worker_states.get(id)?;
+                is_eligible((id, state), step, now).then_some((id, state))
             });
             let choice = choose(step, &permitted.collect::<Vec<_>>(), now);
             self.start_choice(step, choice);
@@ -332,19 +338,19 @@
         let can_ask = advice.can_ask(now) && self.has_adviser_soon(rule, step.tasks.len());
         if advice.is_new() {
             if can_ask && self.may_explore(step.key) {
-                let workers = first_question(step, &admitting(lead, step, now), now);
+                let workers = first_advice_request(step, &eligible_workers(lead, step, now), now);
                 if !workers.is_empty() {
-                    self.ask_advice(step.key, rule, &workers);
+                    self.request_advice(step.key, rule, &workers);
                 }
             }
             return;
         }
         // Far fewer are permitted than there are.
         let admitted = |id| {
-            let seat = lead.seats.get(id)?;
-            admits((id, seat), step, now).then_some((id, seat))
+            let state = lead.worker_states.get(id)?;
+            is_eligible((id, state), step, now).then_some((id, state))
         };
-        let permitted: Vec<(&WorkerId, &Seat)> =
+        let permitted: Vec<(&WorkerId, &WorkerState)> =
             advice.permitted(kept_at).filter_map(admitted).collect();
         let choice = choose(step, &permitted, now);
         let whole = choice.len() == step.tasks.len();
@@ -352,14 +358,14 @@
         let mut kept = Vec::new();
         let mut others = Vec::new();
         if !whole && can_ask {
-            let good: Vec<(&WorkerId, &Seat)> = advice.good().filter_map(admitted).collect();
+            let good: Vec<(&WorkerId, &WorkerState)> = advice.good().filter_map(admitted).collect();
             let wider = choose(step, &good, now);
             if wider.len() > choice.len() {
                 question = workers_of(&wider);
                 question.retain(|id| advice.permit(id, kept_at).is_none() || step.spec.gang);
                 kept = wider;
             } else {
-                others = unknown_with_room(lead, step, advice, now);
+                others = unasked_with_capacity(lead, step, advice, now);
             }
         }
         let placed: Vec<TaskKey> = choice.iter().map(|(task, _)| *task).collect();
@@ -370,11 +376,11 @@
         if whole || (seeks_room && (others.is_empty() || step.spec.gang)) {
             self.settle_room(step, placed.len());
         }
-        if seeks_room && !self.has_room_claim(step.key) && self.may_explore(step.key) {
+        if seeks_room && !self.has_capacity_claim(step.key) && self.may_explore(step.key) {
             question = others;
         }
         if !question.is_empty() {
-            let until = self.ask_advice(step.key, rule, &question);
+            let until = self.request_advice(step.key, rule, &question);
             kept.retain(|(task, _)| !placed.contains(task));
             self.reserve(step, &kept, until + RESERVE_SLACK);
         }
@@ -398,31 +404,31 @@
     }
 
     /// Makes room for the tasks of a step that found none, if it has waited long enough.
-    fn settle_room(&mut self, step: &PlacedStep, placed: usize) {
+    fn settle_room(&mut self, step: &StepToPlace, placed: usize) {
         let missing = step.tasks.len() - placed;
         if missing == 0 {
-            self.drop_room_claim(step.key);
+            self.drop_capacity_claim(step.key);
             return;
         }
-        self.note_room_wait(step.key);
-        if self.may_make_room(step.key) {
-            self.make_room(step, missing);
+        self.note_capacity_wait(step.key);
+        if self.may_reclaim_capacity(step.key) {
+            self.reclaim_capacity(step, missing);
         }
     }
 
     /// Keeps room for a step while its permits are renewed.
-    fn reserve(&mut self, step: &PlacedStep, choice: &Choice, until: CoreTime) {
+    fn reserve(&mut self, step: &StepToPlace, choice: &Assignment, until: CoreTime) {
         if !self.uses(PolicySwitch::PermitRoom) {
             return;
         }
-        self.keep_room(step, choice.iter().map(|(_, worker)| worker), until);
+        self.reserve_capacity(step, choice.iter().map(|(_, worker)| worker), until);
     }
 
     /// Keeps room for a task of a step on each of these workers, once for each time that one is
     /// named.
-    pub(super) fn keep_room<'a>(
+    pub(super) fn reserve_capacity<'a>(
         &mut self,
-        step: &PlacedStep,
+        step: &StepToPlace,
         workers: impl Iterator<Item = &'a WorkerId>,
         until: CoreTime,
     ) {
@@ -435,19 +441,19 @@
             *counts.entry(worker).or_default() += 1;
         }
         for (worker, count) in counts {
-            if let Some(seat) = lead.seats.get_mut(worker) {
-                seat.drop_reservation(step.key, now);
-                let room = step.room_on(seat);
-                seat.reserved.push(Reservation {
+            if let Some(state) = lead.worker_states.get_mut(worker) {
+                state.drop_reservation(step.key, now);
+                let room = step.resources_on(state);
+                state.reserved.push(Reservation {
                     step: step.key,
-                    room: room.times(count),
+                    resources: room.times(count),
                     until,
                 });
             }
         }
     }
 
-    fn start_choice(&mut self, step: &PlacedStep, choice: Choice) {
+    fn start_choice(&mut self, step: &StepToPlace, choice: Assignment) {
         let now = self.now;
         let choice = self.within_limit(step, choice);
         for (task, worker) in choice {
@@ -459,23 +465,23 @@
                 .get(&step.key)
                 .and_then(|advice| advice.permit(&worker, now))
                 .map(str::to_owned);
-            let trial = lead.seats.incarnation_of(&worker);
-            let Some(seat) = lead.seats.get_mut(&worker) else {
+            let trial = lead.worker_states.incarnation_of(&worker);
+            let Some(state) = lead.worker_states.get_mut(&worker) else {
                 continue;
             };
-            seat.drop_reservation(step.key, now);
+            state.drop_reservation(step.key, now);
             let mut live = LiveRun::new(step.run, &step.spec, RunPhase::Proposed, now);
             live.permit = permit;
             live.set_priority(step.priority);
             live.customer.clone_from(&step.customer);
             if step.alone.contains(&task) || step.apart.contains(&task) {
                 live.on_trial = true;
-                live.room = seat.entry.room.minus(&seat.used);
+                live.resources = state.entry.room.minus(&state.used);
                 lead.trials.extend(trial.map(|trial| (task, trial)));
             }
-            seat.add_run(task, live);
-            let left = seat.entry.room.minus(&seat.used).millicores;
-            let waited = lead.wait_sight.start_text(&task, now);
+            state.add_run(task, live);
+            let left = state.entry.room.minus(&state.used).millicores;
+            let waited = lead.wait_tracker.start_text(&task, now);
             self.log_often("placer", "place", || {
                 let detail = format!("run {} on {worker}, room left {left}{waited}", step.run);
                 (task.to_string(), detail)
--- a/crates/bankvalve_queue/src/core/read_back.rs
+++ b/crates/bankvalve_queue/src/core/read_back.rs
@@ -6,9 +6,9 @@
 
 use std::time::Duration;
 
-use super::commit::{batch_row, CommitFlight};
-use super::following::batch_key;
-use super::lead::LeadState;
+use super::commit::{batch_row, InFlightCommit};
+use super::follower::batch_key;
+use super::lead_state::LeadState;
 use super::store_link::{StorePurpose, LEAD_PART, LEDGER_TABLE};
 use super::EntryCore;
 use crate::ids::CoreTime;
@@ -33,14 +33,14 @@
 
 impl EntryCore {
     /// The write that is on its way.
-    fn open_flight(&mut self) -> Option<&mut CommitFlight> {
+    fn open_flight(&mut self) -> Option<&mut InFlightCommit> {
         self.lead.as_deref_mut()?.flight.as_mut()
     }
 
     /// Sees to a write that has no answer yet.
-    pub(super) fn pursue_flight(&mut self) {
+    pub(super) fn pursue_commit(&mut self) {
         let now = self.now;
-        let away = self.store_is_away();
+        let away = self.store_is_unavailable();
         let read_back = self.uses(PolicySwitch::ReadBack);
         let Some(flight) = self.open_flight() else {
             return;
@@ -53,7 +53,7 @@
         }
         if away && !flight.uncertain {
             flight.uncertain = true;
-            self.withdraw_unkept();
+            self.withdraw_uncommitted();
             return;
         }
         if !flight.checking && now >= flight.check_at {
@@ -84,7 +84,7 @@
             sequence,
             sent_at: now,
         };
-        self.ask_store_within(purpose, request, CHECK_TIME);
+        self.send_store_request_within(purpose, request, CHECK_TIME);
     }
 
     pub(super) fn end_check(&mut self, sequence: u64, sent_at: CoreTime, outcome: &StoreOutcome) {
@@ -92,7 +92,7 @@
         let Some(lead) = self.lead.as_deref_mut() else {
             return;
         };
-        let same = |flight: &&mut CommitFlight| flight.sequence == sequence;
+        let same = |flight: &&mut InFlightCommit| flight.sequence == sequence;
         let Some(flight) = lead.flight.as_mut().filter(same) else {
             return;
         };
@@ -101,7 +101,7 @@
         let StoreOutcome::Rows { rows, .. } = outcome else {
             return;
         };
-        lead.asked_since = None;
+        lead.unanswered_since = None;
         let key = batch_row(sequence);
         match rows.iter().find(|row| row.key == key) {
             Some(row) if row.value == flight.rows[0] => {
@@ -110,7 +110,7 @@
                 self.finish_commit(begun_at);
             }
             Some(_) => {
-                self.depose("another leader wrote the ledger on");
+                self.step_down("another leader wrote the ledger on");
                 self.read_leader_row();
             }
             None => {
@@ -137,7 +137,7 @@
             flight.copies += 1;
             flight.sent_at = now;
             flight.check_at = now + pause;
-            self.send_flight();
+            self.send_commit();
         }
     }
 }
--- a/crates/bankvalve_queue/src/core/sight.rs
+++ b/crates/bankvalve_queue/src/core/readiness.rs
@@ -1,7 +1,7 @@
 //! What an instance tells of itself beside its decisions: whether it may be given callers and why
 //! not, and which requests it gave up.
 
-use super::callers::OpenAsk;
+use super::callers::OpenRequest;
 use super::EntryCore;
 use crate::caller::CallerRequest;
 
@@ -36,7 +36,7 @@
             Some(UnreadyReason::NoTable)
         } else if self.stopping {
             Some(UnreadyReason::Stopping)
-        } else if self.lead.is_some() || self.leader_is_heard() {
+        } else if self.lead.is_some() || self.has_leader_contact() {
             None
         } else if self.leader.is_none() {
             Some(UnreadyReason::NoLeader)
@@ -46,12 +46,12 @@
     }
 
     /// Logs that the instance has become ready, or is not and why.
-    pub(super) fn tell_readiness(&mut self) {
+    pub(super) fn log_readiness(&mut self) {
         let reason = self.unready_reason();
-        if self.told_unready == Some(reason) {
+        if self.logged_readiness == Some(reason) {
             return;
         }
-        self.told_unready = Some(reason);
+        self.logged_readiness = Some(reason);
         let event = if reason.is_some() {
             "not_ready"
         } else {
@@ -68,7 +68,7 @@
     }
 
     /// Logs a request that is given up: what was asked, how long ago, and where it was last sent.
-    pub(super) fn log_given_up(&mut self, ask: &OpenAsk) {
+    pub(super) fn log_given_up(&mut self, ask: &OpenRequest) {
         let kind = request_kind(&ask.request);
         let sent = match ask.sent {
             Some((to, at)) => format!("last sent to {to} {:?} ago", self.age(at)),
@@ -88,7 +88,7 @@
         match &self.leader {
             None => "no leader".to_owned(),
             Some(leader) => {
-                let age = self.age(leader.heard_at);
+                let age = self.age(leader.last_contact);
                 let gone = if leader.gone { ", gone" } else { "" };
                 format!(
                     "leader {} of epoch {} heard {age:?} ago{gone}",
--- a/crates/bankvalve_queue/src/core/away.rs
+++ b/crates/bankvalve_queue/src/core/restart_deadline.rs
@@ -6,7 +6,7 @@
 //! another leader. So the ledger records since when a task has been down: an end is committed with the time
 //! of the last contact with the run, not with the time at which it was declared lost. Every leader counts
 //! from that time. A wait that only serves to collect evidence, such as that of a suspect, ends when
-//! [`is_pressed`](EntryCore::is_pressed) returns true.
+//! [`is_past_restart_deadline`](EntryCore::is_past_restart_deadline) returns true.
 
 use std::time::Duration;
 
@@ -27,7 +27,7 @@
     ///
     /// **NOTE:** This uses the time of day, because leaders share no other clock. If that has been set back,
     /// the task counts as down for a shorter time, and its waits end by their own limits.
-    pub(super) fn is_pressed(&self, spec: &StepSpec, task: &TaskRecord) -> bool {
+    pub(super) fn is_past_restart_deadline(&self, spec: &StepSpec, task: &TaskRecord) -> bool {
         let away = self.wall.saturating_sub(task.ended_at);
         let ran = task.ended_at > 0;
         spec.lasting && ran && Duration::from_millis(away) >= LONGEST_AWAY - START_TIME
@@ -37,15 +37,18 @@
     ///
     /// If a worker never answered this leader, nothing shows that it was up when this leader started. It may
     /// already have been out of contact for as long as its lease.
-    pub(super) fn last_word_of(&self, id: &WorkerId, how: EndKind) -> WallMillis {
-        let seat = self.lead.as_deref().and_then(|lead| lead.seats.get(id));
+    pub(super) fn last_contact_with_run(&self, id: &WorkerId, how: EndKind) -> WallMillis {
+        let state = self
+            .lead
+            .as_deref()
+            .and_then(|lead| lead.worker_states.get(id));
         let lost = matches!(how, EndKind::Lost | EndKind::Crashed(_));
-        let Some(seat) = seat.filter(|_| lost) else {
+        let Some(state) = state.filter(|_| lost) else {
             return self.wall;
         };
-        let silent = match seat.heard_at {
+        let silent = match state.last_contact {
             Some(at) => self.age(at),
-            None => self.age(seat.known_at) + self.hold_time(),
+            None => self.age(state.known_at) + self.lease_duration(),
         };
         self.wall.saturating_sub(silent.as_millis() as u64)
     }
--- a/crates/bankvalve_queue/src/core/returning.rs
+++ b/crates/bankvalve_queue/src/core/restart_preparation.rs
@@ -12,11 +12,11 @@
 use std::time::Duration;
 
 use super::advice::StepAdvice;
-use super::choosing::{admits, held_of, most_room};
-use super::lead::LeadState;
-use super::making_room::RoomPlan;
-use super::placing::PlacedStep;
-use super::seat::{Seat, SILENT_LONG};
+use super::capacity_reclaim::CapacityPlan;
+use super::lead_state::LeadState;
+use super::placement::StepToPlace;
+use super::worker_selection::{is_eligible, tasks_on, workers_with_most_free};
+use super::worker_state::{WorkerState, UNRESPONSIVE_AFTER};
 use super::EntryCore;
 use crate::guard::SiteGuard;
 use crate::ids::{StepKey, TaskKey, WorkerId};
@@ -50,7 +50,7 @@
 
 /// A step with long-running tasks that are down or soon will be.
 #[derive(Clone, Debug, Default)]
-pub(super) struct ReturningStep {
+pub(super) struct RestartingStep {
     /// Since when one of them has been down, in Unix milliseconds; 0 if that is not known.
     since: u64,
     /// Tasks for which capacity is reserved now.
@@ -74,14 +74,14 @@
     permits: usize,
 }
 
-impl ReturningStep {
+impl RestartingStep {
     /// Returns whether capacity and permits are prepared for all these tasks.
     pub(super) fn covers(&self, tasks: &[TaskKey]) -> bool {
         tasks.iter().all(|task| self.due.contains(task))
     }
 
     /// Returns whether capacity is reserved but none of it is free yet.
-    pub(super) fn awaits_room(&self) -> bool {
+    pub(super) fn awaits_capacity(&self) -> bool {
         self.ready.kept > 0 && self.ready.free == 0
     }
 }
@@ -98,42 +98,42 @@
 
 impl EntryCore {
     /// Prepares permits and capacity for long-running tasks whose runs have ended or soon will.
-    pub(super) fn run_returning(&mut self) {
+    pub(super) fn prepare_restarts(&mut self) {
         let now = self.now;
-        let may_look = self.may_command() && self.keeps(SiteGuard::ReadyReturn);
+        let may_look = self.may_command() && self.enforces(SiteGuard::ReadyReturn);
         let Some(lead) = self.lead.as_deref_mut() else {
             return;
         };
-        if now < lead.next_returning || !lead.workers_known || !may_look {
+        if now < lead.next_restart_preparation || !lead.workers_known || !may_look {
             return;
         }
         let Some(lead) = self.lead.as_deref() else {
             return;
         };
-        let patience = self.silence_patience(lead);
+        let patience = self.unresponsive_timeout(lead);
         let mut tasks = 0;
-        let mut returning = BTreeMap::new();
+        let mut restarting = BTreeMap::new();
         for key in &lead.lasting_steps {
             let (looked_at, step) = self.returning_step(lead, *key, patience);
             tasks += looked_at;
-            returning.extend(step.map(|step| (*key, step)));
+            restarting.extend(step.map(|step| (*key, step)));
         }
         let Some(lead) = self.lead.as_deref_mut() else {
             return;
         };
-        let steps = returning.len() as u32;
-        lead.next_returning = now + LOOK_PACE + LOOK_EACH * tasks + PLAN_EACH * steps;
-        let mut by_age: Vec<(u64, StepKey)> = returning
+        let steps = restarting.len() as u32;
+        lead.next_restart_preparation = now + LOOK_PACE + LOOK_EACH * tasks + PLAN_EACH * steps;
+        let mut by_age: Vec<(u64, StepKey)> = restarting
             .iter()
             .map(|(key, step)| (step.since, *key))
             .collect();
         by_age.sort_unstable();
-        let before = std::mem::replace(&mut lead.returning, returning);
+        let before = std::mem::replace(&mut lead.restarting, restarting);
         let over = before.keys();
-        let over = over.filter(|key| !lead.returning.contains_key(key));
+        let over = over.filter(|key| !lead.restarting.contains_key(key));
         for key in over {
-            for seat in lead.seats.values_mut() {
-                seat.drop_reservation(*key, now);
+            for state in lead.worker_states.values_mut() {
+                state.drop_reservation(*key, now);
             }
         }
         let mut budget = self.room_to_keep();
@@ -149,7 +149,7 @@
         let Some(lead) = self.lead.as_deref_mut() else {
             return;
         };
-        let Some(step) = lead.returning.get_mut(&key) else {
+        let Some(step) = lead.restarting.get_mut(&key) else {
             return;
         };
         step.ready = ready;
@@ -178,7 +178,7 @@
         lead: &LeadState,
         key: StepKey,
         patience: Duration,
-    ) -> (u32, Option<ReturningStep>) {
+    ) -> (u32, Option<RestartingStep>) {
         let job = self.book.job(key.job);
         let job = job.filter(|job| job.outcome == JobOutcome::Open);
         let Some(job) = job else {
@@ -188,10 +188,10 @@
         let (Some(record), Some(spec)) = (job.step(key), spec) else {
             return (0, None);
         };
-        let mut step = ReturningStep::default();
+        let mut step = RestartingStep::default();
         for (index, task) in record.tasks.iter().enumerate() {
             let task_key = key.task(index as u32);
-            let suspect = task.is_suspect() && !self.is_pressed(spec, task);
+            let suspect = task.is_suspect() && !self.is_past_restart_deadline(spec, task);
             match self.standing(lead, task_key, task, patience) {
                 Standing::Runs => continue,
                 Standing::Due if !suspect => step.due.push(task_key),
@@ -223,28 +223,28 @@
             TaskPhase::Placed { worker, run } => (worker, *run),
             _ => return Standing::Runs,
         };
-        let Some(seat) = lead.seats.get(worker) else {
+        let Some(state) = lead.worker_states.get(worker) else {
             return Standing::Silent;
         };
-        if seat.runs.get(&key).is_none_or(|live| live.run != run) {
+        if state.runs.get(&key).is_none_or(|live| live.run != run) {
             // The run was declared lost, but its end is not committed yet.
             return Standing::Due;
         }
-        let silent = self.age(seat.heard_at.unwrap_or(seat.known_at));
-        if silent < SILENT_LONG.max(seat.usual_silence()) && !seat.refused {
+        let silent = self.age(state.last_contact.unwrap_or(state.known_at));
+        if silent < UNRESPONSIVE_AFTER.max(state.usual_response_gap()) && !state.refused {
             return Standing::Runs;
         }
-        let hold_left = if seat.proved {
-            seat.hold_left(self.now)
+        let lease_left = if state.token_accepted {
+            state.lease_left(self.now)
         } else {
-            self.hold_time().saturating_sub(silent)
+            self.lease_duration().saturating_sub(silent)
         };
-        let listed_left = if seat.listed && !seat.refused {
+        let listed_left = if state.listed && !state.refused {
             patience.saturating_sub(silent)
         } else {
             Duration::ZERO
         };
-        if hold_left.max(listed_left) <= KEEP_AHEAD {
+        if lease_left.max(listed_left) <= KEEP_AHEAD {
             Standing::Due
         } else {
             Standing::Silent
@@ -255,9 +255,11 @@
     fn room_to_keep(&self) -> u64 {
         let now = self.now;
         let lead = self.lead.as_deref();
-        let seats = lead.into_iter().flat_map(|lead| lead.seats.values());
-        let lively = seats.filter(|seat| seat.is_lively(now));
-        let all: u64 = lively.map(|seat| seat.entry.room.millicores).sum();
+        let worker_states = lead
+            .into_iter()
+            .flat_map(|lead| lead.worker_states.values());
+        let lively = worker_states.filter(|state| state.is_responsive(now));
+        let all: u64 = lively.map(|state| state.entry.room.millicores).sum();
         all * KEPT_PERCENT / 100
     }
 
@@ -267,24 +269,24 @@
         let Some(lead) = self.lead.as_deref() else {
             return ready;
         };
-        let Some(returning) = lead.returning.get(&key) else {
+        let Some(restarting) = lead.restarting.get(&key) else {
             return ready;
         };
-        let wanted = returning.due.len() + returning.later;
-        let tasks = returning.due.clone();
+        let wanted = restarting.due.len() + restarting.later;
+        let tasks = restarting.due.clone();
         let Some(step) = self.due_step(key, tasks) else {
             return ready;
         };
         if let Some(rule) = step.rule {
             ready.good = self.ask_ahead(&step, rule, wanted);
         }
-        let share = *budget / step.room.millicores.max(1);
+        let share = *budget / step.resources.millicores.max(1);
         let most = step.tasks.len().min(share as usize);
         let plans = self.keep_for_return(&step, most);
-        *budget -= step.room.millicores * plans.len() as u64;
+        *budget -= step.resources.millicores * plans.len() as u64;
         ready.kept = plans.len();
         ready.free = plans.iter().filter(|plan| plan.after().is_zero()).count();
-        if let Some(rule) = step.rule.filter(|_| !self.store_is_away()) {
+        if let Some(rule) = step.rule.filter(|_| !self.store_is_unavailable()) {
             self.renew_ahead(&step, rule, &plans);
         }
         ready.permits = self.permits_for(&step, &plans);
@@ -292,14 +294,14 @@
     }
 
     /// Returns the number of plans for whose workers there is a permit that is valid long enough for a start.
-    fn permits_for(&self, step: &PlacedStep, plans: &[RoomPlan]) -> usize {
+    fn permits_for(&self, step: &StepToPlace, plans: &[CapacityPlan]) -> usize {
         let lead = self.lead.as_deref();
         let Some((lead, advice)) = lead.and_then(|lead| Some((lead, lead.advice.get(&step.key)?)))
         else {
             return 0;
         };
-        let until = self.now + lead.time_to_keep();
-        let workers = plans.iter().map(RoomPlan::worker);
+        let until = self.now + lead.time_to_commit();
+        let workers = plans.iter().map(CapacityPlan::worker);
         workers
             .filter(|id| advice.permit(id, until).is_some())
             .count()
@@ -307,61 +309,65 @@
 
     /// Requests advice about workers, with free capacity or without, until enough allowed ones are known.
     /// Returns how many are known.
-    fn ask_ahead(&mut self, step: &PlacedStep, rule: AdviceRule, tasks: usize) -> usize {
+    fn ask_ahead(&mut self, step: &StepToPlace, rule: AdviceRule, tasks: usize) -> usize {
         let now = self.now;
         let Some(lead) = self.lead.as_deref() else {
             return 0;
         };
         let empty = StepAdvice::default();
         let advice = lead.advice.get(&step.key).unwrap_or(&empty);
-        let takes = |id: &WorkerId, seat: &Seat| {
-            admits((id, seat), step, now) && held_of(seat, step.key) < step.worker_limit()
+        let takes = |id: &WorkerId, state: &WorkerState| {
+            is_eligible((id, state), step, now) && tasks_on(state, step.key) < step.worker_limit()
         };
-        let good = advice
-            .good()
-            .filter(|id| lead.seats.get(id).is_some_and(|seat| takes(id, seat)));
+        let good = advice.good().filter(|id| {
+            lead.worker_states
+                .get(id)
+                .is_some_and(|state| takes(id, state))
+        });
         let good = good.count();
         let missing = (tasks * GOOD_PER_TASK + GOOD_SPARE).saturating_sub(good);
         if missing == 0 || advice.explores() || !advice.may_retry(now) {
             return good;
         }
-        let unknown = lead.seats.iter();
-        let unknown = unknown.filter(|(id, seat)| !advice.is_known(id) && takes(id, seat));
-        let unknown: Vec<(&WorkerId, &Seat)> = unknown.collect();
+        let unknown = lead.worker_states.iter();
+        let unknown = unknown.filter(|(id, state)| !advice.is_known(id) && takes(id, state));
+        let unknown: Vec<(&WorkerId, &WorkerState)> = unknown.collect();
         let count = (missing * ASK_PER_GOOD).clamp(ASK_LEAST, ASK_MOST);
-        let question = most_room(step, &unknown, count, now);
+        let question = workers_with_most_free(step, &unknown, count, now);
         if !question.is_empty() {
-            self.ask_advice(step.key, rule, &question);
+            self.request_advice(step.key, rule, &question);
         }
         good
     }
 
     /// Reserves capacity for a number of tasks of a step on allowed workers, where it is free soonest.
-    fn keep_for_return(&mut self, step: &PlacedStep, tasks: usize) -> Vec<RoomPlan> {
+    fn keep_for_return(&mut self, step: &StepToPlace, tasks: usize) -> Vec<CapacityPlan> {
         let now = self.now;
-        let plans = self.plan_return(step, tasks);
+        let plans = self.plan_restart(step, tasks);
         let Some(lead) = self.lead.as_deref_mut() else {
             return Vec::new();
         };
-        let until = lead.next_returning + KEEP_TIME;
-        for seat in lead.seats.values_mut() {
-            seat.drop_reservation(step.key, now);
+        let until = lead.next_restart_preparation + KEEP_TIME;
+        for state in lead.worker_states.values_mut() {
+            state.drop_reservation(step.key, now);
         }
         // Drops other steps' reservations there unless they are also for restarts; they are made again
         // elsewhere.
-        let returning: Vec<StepKey> = lead.returning.keys().copied().collect();
+        let restarting: Vec<StepKey> = lead.restarting.keys().copied().collect();
         for plan in &plans {
-            if let Some(seat) = lead.seats.get_mut(plan.worker()) {
-                seat.reserved.retain(|kept| returning.contains(&kept.step));
+            if let Some(state) = lead.worker_states.get_mut(plan.worker()) {
+                state
+                    .reserved
+                    .retain(|kept| restarting.contains(&kept.step));
             }
         }
-        self.keep_room(step, plans.iter().map(RoomPlan::worker), until);
-        self.stop_for(&plans);
+        self.reserve_capacity(step, plans.iter().map(CapacityPlan::worker), until);
+        self.stop_planned_runs(&plans);
         plans
     }
 
     /// Renews permits for workers whose capacity becomes free at about the time when the permits arrive.
-    fn renew_ahead(&mut self, step: &PlacedStep, rule: AdviceRule, plans: &[RoomPlan]) {
+    fn renew_ahead(&mut self, step: &StepToPlace, rule: AdviceRule, plans: &[CapacityPlan]) {
         let now = self.now;
         let Some(lead) = self.lead.as_deref() else {
             return;
@@ -371,21 +377,21 @@
         };
         let takes = rule.time_for(plans.len());
         let lasts = Duration::from_millis(rule.valid_ms);
-        let needed = now + takes + lead.time_to_keep();
-        let soon = |plan: &&RoomPlan| plan.after() <= takes + lasts / 2;
+        let needed = now + takes + lead.time_to_commit();
+        let soon = |plan: &&CapacityPlan| plan.after() <= takes + lasts / 2;
         let due = |id: &&WorkerId| !advice.is_asked(id) && advice.permit(id, needed).is_none();
-        let workers = plans.iter().filter(soon).map(RoomPlan::worker);
+        let workers = plans.iter().filter(soon).map(CapacityPlan::worker);
         let mut question: Vec<WorkerId> = workers.filter(due).cloned().collect();
         question.sort_unstable();
         question.dedup();
         if !question.is_empty() && advice.may_retry(now) {
-            self.ask_advice(step.key, rule, &question);
+            self.request_advice(step.key, rule, &question);
         }
     }
 }
 
 /// Returns whether restarts of a step's tasks are prepared here.
-pub(super) fn sees_to(lead: &LeadState, step: &PlacedStep) -> bool {
-    let returning = lead.returning.get(&step.key);
-    step.is_among_others() && returning.is_some_and(|returning| returning.covers(&step.tasks))
+pub(super) fn is_prepared_restart(lead: &LeadState, step: &StepToPlace) -> bool {
+    let restarting = lead.restarting.get(&step.key);
+    step.has_no_trials() && restarting.is_some_and(|restarting| restarting.covers(&step.tasks))
 }
--- a/crates/bankvalve_queue/src/core/restarts.rs
+++ b/crates/bankvalve_queue/src/core/restart_waits.rs
@@ -3,8 +3,8 @@
 
 use std::time::Duration;
 
+use super::lost_contact::rounded;
 use super::task_waits::StartWait;
-use super::unheard::rounded;
 use super::EntryCore;
 use crate::ids::{RunId, TaskKey};
 use crate::job::TaskSize;
@@ -16,12 +16,12 @@
 
 impl EntryCore {
     /// Logs tasks that have waited long since their run ended, and stops tracking those that no longer wait.
-    pub(super) fn watch_ended(&mut self) {
+    pub(super) fn track_restart_waits(&mut self) {
         let now = self.now;
         let Some(lead) = self.lead.as_deref_mut() else {
             return;
         };
-        let mut ended = std::mem::take(&mut lead.wait_sight.ended);
+        let mut ended = std::mem::take(&mut lead.wait_tracker.ended);
         ended.retain(|task, ended| self.still_waits(*task, ended.run));
         let mut most = None;
         let mut told = Vec::new();
@@ -37,7 +37,7 @@
             ended.found[reason as usize] += 1;
         }
         if let Some(lead) = self.lead.as_deref_mut() {
-            lead.wait_sight.ended = ended;
+            lead.wait_tracker.ended = ended;
         }
         for (task, run, since, reason) in told {
             self.log_often("placer", "waits", || {
@@ -69,7 +69,7 @@
             return StartWait::Placing;
         };
         let step = task.step;
-        if self.store_is_away() {
+        if self.store_is_unavailable() {
             return StartWait::TableAway;
         }
         if !self.may_command() || !lead.workers_known {
@@ -79,20 +79,21 @@
             return StartWait::Others;
         }
         let spec = job.spec.steps.get(usize::from(step.step));
-        let pressed = |record| spec.is_some_and(|spec| self.is_pressed(spec, record));
+        let past_deadline =
+            |record| spec.is_some_and(|spec| self.is_past_restart_deadline(spec, record));
         if job
             .task(task)
-            .is_some_and(|record| record.is_suspect() && !pressed(record))
+            .is_some_and(|record| record.is_suspect() && !past_deadline(record))
         {
             return StartWait::Suspect;
         }
-        let returning = lead.returning.get(&step);
-        let awaited = returning.is_some_and(|returning| returning.awaits_room());
-        if awaited || lead.room_claims.contains_key(&step) {
+        let restarting = lead.restarting.get(&step);
+        let awaited = restarting.is_some_and(|restarting| restarting.awaits_capacity());
+        if awaited || lead.capacity_claims.contains_key(&step) {
             return StartWait::RoomMade;
         }
-        let most = *most.get_or_insert_with(|| lead.most_room());
-        if spec.is_some_and(|spec| !spec.room().fits(&most)) {
+        let most = *most.get_or_insert_with(|| lead.max_free());
+        if spec.is_some_and(|spec| !spec.resources().fits(&most)) {
             return StartWait::NoRoom;
         }
         let permitted = |step| {
--- a/crates/bankvalve_queue/src/core/round_trip.rs
+++ b/crates/bankvalve_queue/src/core/round_trip.rs
@@ -11,7 +11,7 @@
 use super::election::PeerView;
 use super::EntryCore;
 use crate::ids::CoreTime;
-use crate::peer::{HeartbeatEcho, HeartbeatNews, PeerAddress};
+use crate::peer::{HeartbeatBody, HeartbeatEcho, PeerAddress};
 
 /// Peers that must be alive for their echoes to tell of the own link.
 const PEERS_AT_LEAST: usize = 2;
@@ -19,7 +19,7 @@
 const ECHO_PAUSE: Duration = Duration::from_millis(320);
 
 /// Most that is reckoned for a way and back: what is on it longer is lost.
-pub(super) const WAY_MOST: Duration = Duration::from_millis(1_500);
+pub(super) const MAX_ROUND_TRIP: Duration = Duration::from_millis(1_500);
 
 /// What a peer's heartbeats tell of the way to it and back.
 #[derive(Clone, Copy, Debug, Default)]
@@ -36,7 +36,7 @@
 
 impl PeerEcho {
     /// Takes what a heartbeat brings.
-    pub(super) fn note(&mut self, now: CoreTime, news: &HeartbeatNews) {
+    pub(super) fn note(&mut self, now: CoreTime, news: &HeartbeatBody) {
         self.heard = Some((news.sent_ms, now));
         self.first_heard.get_or_insert(now);
         let Some(echo) = &news.echo else {
@@ -58,7 +58,7 @@
     }
 
     /// When its last heartbeat came.
-    pub(super) fn heard_at(&self) -> Option<CoreTime> {
+    pub(super) fn last_contact(&self) -> Option<CoreTime> {
         self.heard.map(|(_, at)| at)
     }
 
@@ -69,8 +69,8 @@
     }
 
     fn echo(&self, now: CoreTime) -> Option<HeartbeatEcho> {
-        let (sent_ms, heard_at) = self.heard?;
-        let held_ms = now.saturating_sub(heard_at).as_millis() as u64;
+        let (sent_ms, last_contact) = self.heard?;
+        let held_ms = now.saturating_sub(last_contact).as_millis() as u64;
         Some(HeartbeatEcho { sent_ms, held_ms })
     }
 
@@ -84,8 +84,8 @@
 
 impl EntryCore {
     /// Puts into a heartbeat what is for one peer alone.
-    pub(super) fn news_for(&self, peer: PeerAddress, news: &HeartbeatNews) -> HeartbeatNews {
-        HeartbeatNews {
+    pub(super) fn heartbeat_for(&self, peer: PeerAddress, news: &HeartbeatBody) -> HeartbeatBody {
+        HeartbeatBody {
             sent_ms: self.now.as_millis() as u64,
             echo: self
                 .peers
@@ -97,11 +97,11 @@
 
     /// Time that the way to the leader and back takes: a question that is sent again before its
     /// answer can have come goes over the same full link.
-    pub(super) fn way_to_leader(&self) -> Duration {
+    pub(super) fn round_trip_to_leader(&self) -> Duration {
         let leader = self.leader.as_ref().map(|leader| leader.address);
         let peer = leader.and_then(|leader| self.peers.get(&leader));
         let echo = peer.map(|peer| &peer.echo);
-        let time = if self.is_far_of_many() {
+        let time = if self.is_behind_hubs() {
             // Echoes come at the slow pace: a missing one would count as a way of a second and a half,
             // and the question be sent again when its caller's time is nearly over. What hubs tell of
             // the leader's silence holds questions back sooner.
@@ -109,15 +109,15 @@
         } else {
             echo.and_then(|echo| echo.time(self.now))
         };
-        time.unwrap_or_default().min(WAY_MOST)
+        time.unwrap_or_default().min(MAX_ROUND_TRIP)
     }
 
     /// Least time that a heartbeat and its echo take among the near members that live; nothing while
     /// there are too few.
     pub(super) fn least_round_trip(&self) -> Duration {
-        let near = |address: &&PeerAddress| self.near.contains(address);
+        let preferred = |address: &&PeerAddress| self.preferred.contains(address);
         let time = |peer: &PeerView| peer.echo.time(self.now).filter(|_| peer.is_live(self.now));
-        let peers = self.peers.iter().filter(|(address, _)| near(address));
+        let peers = self.peers.iter().filter(|(address, _)| preferred(address));
         let times: Vec<Duration> = peers.filter_map(|(_, peer)| time(peer)).collect();
         if times.len() < PEERS_AT_LEAST {
             return Duration::ZERO;
--- a/crates/bankvalve_queue/src/core/stopped_holds.rs
+++ b/crates/bankvalve_queue/src/core/stopped_leases.rs
@@ -15,9 +15,9 @@
 use std::time::Duration;
 
 use super::commit::Effect;
-use super::holds::SLOW_CLOCK_FACTOR;
-use super::lead::LeadState;
-use super::seat::{HoldStop, Seat};
+use super::lead_state::LeadState;
+use super::lease_renewal::SLOW_CLOCK_FACTOR;
+use super::worker_state::{LeaseStop, WorkerState};
 use super::EntryCore;
 use crate::guard::SiteGuard;
 use crate::ids::{CoreTime, WorkerId};
@@ -59,24 +59,24 @@
 
 /// Workers whose leases are not renewed.
 #[derive(Debug, Default)]
-pub(super) struct StoppedHolds(BTreeMap<WorkerId, StoppedHold>);
+pub(super) struct StoppedLeases(BTreeMap<WorkerId, StoppedHold>);
 
-impl StoppedHolds {
+impl StoppedLeases {
     /// Returns the time by which a worker's lease has expired, if it is no longer renewed.
     pub(super) fn over_at(&self, worker: &WorkerId) -> Option<CoreTime> {
         self.0.get(worker).map(|hold| hold.over_at)
     }
 
     /// Returns a time since which a worker has been out of contact, if its lease is no longer renewed.
-    pub(super) fn silent_since(&self, worker: &WorkerId) -> Option<CoreTime> {
+    pub(super) fn unresponsive_since(&self, worker: &WorkerId) -> Option<CoreTime> {
         self.0.get(worker).map(|hold| hold.known_at)
     }
 
     /// Returns whether a worker's lease may be renewed according to the ledger.
-    pub(super) fn state_of(&self, worker: &WorkerId) -> HoldStop {
+    pub(super) fn state_of(&self, worker: &WorkerId) -> LeaseStop {
         match self.0.contains_key(worker) {
-            true => HoldStop::Stopped,
-            false => HoldStop::None,
+            true => LeaseStop::Stopped,
+            false => LeaseStop::None,
         }
     }
 
@@ -99,45 +99,45 @@
                     over_at,
                     known_at: now,
                 };
-                let kept = self.stopped_holds.0.entry(worker.clone()).or_insert(hold);
+                let kept = self.stopped_leases.0.entry(worker.clone()).or_insert(hold);
                 kept.over_at = over_at;
             }
             LedgerEvent::HoldResumed { worker } => {
-                self.stopped_holds.0.remove(worker);
+                self.stopped_leases.0.remove(worker);
             }
             event => self.book.apply(event),
         }
     }
 
     /// Returns when no lease that former leaders requested from a worker can last any longer.
-    pub(super) fn former_holds_over_at(&self, worker: &WorkerId) -> CoreTime {
-        let former = self.former_leaders.holds_over_at();
+    pub(super) fn former_leases_expire_at(&self, worker: &WorkerId) -> CoreTime {
+        let former = self.former_leaders.leases_expire_at();
         let began_at = self.lead.as_deref().map(|lead| lead.began_at);
         let own = |hold: &&StoppedHold| began_at.is_some_and(|began_at| hold.known_at >= began_at);
         // A record by this leader itself contains what it assumed then. It may know more now.
-        let told = self.stopped_holds.0.get(worker).filter(|hold| !own(hold));
+        let told = self.stopped_leases.0.get(worker).filter(|hold| !own(hold));
         match told.map(|hold| hold.over_at) {
             Some(at) if self.former_leaders.may_lack_some(self.now) => at,
-            Some(at) if self.keeps(SiteGuard::KnownHolds) => at.min(former),
+            Some(at) if self.enforces(SiteGuard::KnownHolds) => at.min(former),
             _ => former,
         }
     }
 
     /// Returns whether, according to the ledger, a worker's former leases expire sooner than this leader
     /// calculates.
-    pub(super) fn is_told_of(&self, worker: &WorkerId) -> bool {
-        self.former_holds_over_at(worker) < self.former_leaders.holds_over_at()
+    pub(super) fn is_bounded_by_ledger(&self, worker: &WorkerId) -> bool {
+        self.former_leases_expire_at(worker) < self.former_leaders.leases_expire_at()
     }
 
     /// Records in the ledger which unresponsive workers have leases that are no longer renewed.
-    pub(super) fn stop_silent_holds(&mut self) {
+    pub(super) fn stop_silent_leases(&mut self) {
         let seen = self.now.saturating_sub(self.lag);
         let Some(lead) = self.lead.as_deref() else {
             return;
         };
-        let silent = |(_, seat): &(&WorkerId, &Seat)| is_silent(seat, seen);
+        let silent = |(_, state): &(&WorkerId, &WorkerState)| is_unresponsive(state, seen);
         let workers: Vec<WorkerId> = lead
-            .seats
+            .worker_states
             .iter()
             .filter(silent)
             .map(|(id, _)| id.clone())
@@ -147,13 +147,13 @@
             .filter_map(|id| self.hold_to_stop(lead, id))
             .collect();
         // If this cannot be committed now, neither could resuming the lease once the worker answers.
-        let answers = self.age(lead.confirmed_at) < TABLE_ANSWERS && !self.store_is_away();
+        let answers = self.age(lead.confirmed_at) < TABLE_ANSWERS && !self.store_is_unavailable();
         if due.is_empty() || !answers || is_common(lead, workers.len()) {
             return;
         }
         for (worker, over_ms) in due {
-            if let Some(seat) = self.lead_seat(&worker) {
-                seat.hold_stop = HoldStop::Stopped;
+            if let Some(state) = self.worker_state_mut(&worker) {
+                state.lease_stop = LeaseStop::Stopped;
             }
             let detail = format!("expires in at most {over_ms} ms");
             self.log("workers", "hold_stopped", worker.to_string(), detail);
@@ -164,56 +164,56 @@
 
     /// Returns the time after which an unresponsive worker's lease has expired, if it must be recorded.
     fn hold_to_stop(&self, lead: &LeadState, id: &WorkerId) -> Option<(WorkerId, u64)> {
-        let seat = lead.seats.get(id)?;
-        let own = seat.hold_left(self.now).mul_f64(SLOW_CLOCK_FACTOR);
-        let former = self.former_holds_over_at(id).saturating_sub(self.now);
+        let state = lead.worker_states.get(id)?;
+        let own = state.lease_left(self.now).mul_f64(SLOW_CLOCK_FACTOR);
+        let former = self.former_leases_expire_at(id).saturating_sub(self.now);
         let left = own.max(former);
-        let kept = self.stopped_holds.over_at(id);
+        let kept = self.stopped_leases.over_at(id);
         let sooner = kept.is_some_and(|at| self.now + left + KEPT_ANEW < at);
-        let due = match seat.hold_stop {
-            HoldStop::None => true,
-            HoldStop::Stopped => sooner && !seat.proved,
-            HoldStop::Resuming => false,
+        let due = match state.lease_stop {
+            LeaseStop::None => true,
+            LeaseStop::Stopped => sooner && !state.token_accepted,
+            LeaseStop::Resuming => false,
         };
         due.then(|| (id.clone(), left.as_millis() as u64 + 1))
     }
 
     /// Proposes that the lease of a worker that has answered is renewed again, if it was stopped. It may be
     /// renewed once that is committed.
-    pub(super) fn resume_hold(&mut self, id: &WorkerId) {
-        let kept_first = self.keeps(SiteGuard::ResumeKept);
-        let seat = self.lead_seat(id);
-        let Some(seat) = seat.filter(|seat| seat.hold_stop == HoldStop::Stopped) else {
+    pub(super) fn request_lease_renewal(&mut self, id: &WorkerId) {
+        let kept_first = self.enforces(SiteGuard::ResumeKept);
+        let state = self.worker_state_mut(id);
+        let Some(state) = state.filter(|state| state.lease_stop == LeaseStop::Stopped) else {
             return;
         };
-        seat.hold_stop = match kept_first {
-            true => HoldStop::Resuming,
-            false => HoldStop::None,
+        state.lease_stop = match kept_first {
+            true => LeaseStop::Resuming,
+            false => LeaseStop::None,
         };
         let worker = id.clone();
         let event = LedgerEvent::HoldResumed { worker };
-        self.propose(event, Effect::ProlongHold(id.clone()));
+        self.propose(event, Effect::RenewLease(id.clone()));
     }
 
     /// Resumes renewing a worker's lease, now that this is committed.
-    pub(super) fn prolong_again(&mut self, id: &WorkerId) {
+    pub(super) fn resume_lease_renewal(&mut self, id: &WorkerId) {
         let now = self.now;
-        let Some(seat) = self.lead_seat(id) else {
+        let Some(state) = self.worker_state_mut(id) else {
             return;
         };
-        seat.hold_stop = HoldStop::None;
-        seat.next_hold = now;
+        state.lease_stop = LeaseStop::None;
+        state.next_poll = now;
         self.log("workers", "hold_resumed", id.to_string(), String::new());
-        self.look_if_due(id);
+        self.poll_if_due(id);
     }
 
     /// Drops the records of workers that were forgotten.
-    pub(super) fn forget_stopped_holds(&mut self) {
+    pub(super) fn forget_stopped_leases(&mut self) {
         let Some(lead) = self.lead.as_deref().filter(|lead| lead.loaded) else {
             return;
         };
-        let gone = |id: &&WorkerId| lead.workers_known && lead.seats.get(id).is_none();
-        let gone: Vec<WorkerId> = self.stopped_holds.0.keys().filter(gone).cloned().collect();
+        let gone = |id: &&WorkerId| lead.workers_known && lead.worker_states.get(id).is_none();
+        let gone: Vec<WorkerId> = self.stopped_leases.0.keys().filter(gone).cloned().collect();
         for worker in gone {
             self.propose(LedgerEvent::HoldResumed { worker }, Effect::None);
         }
@@ -221,17 +221,22 @@
 }
 
 /// Returns whether a worker with runs has been out of contact for so long that its lease is not renewed.
-fn is_silent(seat: &Seat, seen: CoreTime) -> bool {
-    let since = seat.heard_at.unwrap_or(seat.known_at);
-    let asked = seat.proved || seat.entry.address.is_empty() || seat.unanswered >= STOP_UNANSWERED;
-    let lost = seat.refused || !seat.listed;
+fn is_unresponsive(state: &WorkerState, seen: CoreTime) -> bool {
+    let since = state.last_contact.unwrap_or(state.known_at);
+    let asked = state.token_accepted
+        || state.entry.address.is_empty()
+        || state.unanswered >= STOP_UNANSWERED;
+    let lost = state.refused || !state.listed;
     let least = if lost { STOP_AFTER } else { STOP_AFTER_SILENCE };
-    let usual = least.max(seat.usual_silence() + LOOK_PROLONGS);
-    !seat.runs.is_empty() && asked && seen.saturating_sub(since) >= usual
+    let usual = least.max(state.usual_response_gap() + LOOK_PROLONGS);
+    !state.runs.is_empty() && asked && seen.saturating_sub(since) >= usual
 }
 
 /// Returns whether so many workers are unresponsive that the cause is the leader itself.
 fn is_common(lead: &LeadState, silent: usize) -> bool {
-    let busy = lead.seats.values().filter(|seat| !seat.runs.is_empty());
+    let busy = lead
+        .worker_states
+        .values()
+        .filter(|state| !state.runs.is_empty());
     silent >= COMMON_LEAST && silent * COMMON_SHARE > busy.count()
 }
--- a/crates/bankvalve_queue/src/core/store_link.rs
+++ b/crates/bankvalve_queue/src/core/store_link.rs
@@ -112,7 +112,7 @@
                         after,
                         wait_ms: CELL_WATCH_WAIT.as_millis() as u64,
                     };
-                    self.ask_store(StorePurpose::WatchCell, request);
+                    self.send_store_request(StorePurpose::WatchCell, request);
                 }
             }
         }
@@ -122,14 +122,14 @@
             self.worker_list_sent = self.now;
             let (request, full) = match self.worker_watch.after {
                 None => {
-                    self.worker_reading.begin();
+                    self.entry_scan.begin();
                     let from = String::new();
                     (StoreRequest::ReadWorkers { from }, true)
                 }
                 Some(after) => (StoreRequest::WatchWorkers { after, wait_ms }, false),
             };
-            let reading = self.worker_reading.number();
-            self.ask_store(StorePurpose::Workers { full, reading }, request);
+            let reading = self.entry_scan.number();
+            self.send_store_request(StorePurpose::Workers { full, reading }, request);
         }
     }
 
@@ -137,7 +137,7 @@
         let table = CELL_TABLE.to_owned();
         let part = MEMBER_PART.to_owned();
         let from = String::new();
-        self.ask_store(
+        self.send_store_request(
             StorePurpose::ReadCell,
             StoreRequest::Read {
                 table,
@@ -148,14 +148,14 @@
         );
     }
 
-    pub(super) fn take_store(&mut self, ticket: Ticket, outcome: StoreOutcome) {
-        let Some(question) = self.store_tickets.remove(&ticket) else {
+    pub(super) fn handle_store_answer(&mut self, ticket: Ticket, outcome: StoreOutcome) {
+        let Some(question) = self.open_store_requests.remove(&ticket) else {
             return;
         };
         self.store_arrived(ticket);
         self.note_answer_time(&question, &outcome);
         if !matches!(outcome, StoreOutcome::Lost | StoreOutcome::Busy) {
-            self.store_heard = Some(self.now);
+            self.store_last_contact = Some(self.now);
         }
         match &outcome {
             StoreOutcome::Lost => self.counters.count("retries", "store_lost"),
@@ -195,7 +195,7 @@
             return;
         };
         for row in rows {
-            self.take_cell_row(&row.key, Some(&row.value), row.version);
+            self.handle_cell_row(&row.key, Some(&row.value), row.version);
         }
         self.cell_watch.after = Some(version);
         self.cell_watch.busy = false;
@@ -205,7 +205,7 @@
             self.read_leader_row();
             // After a loss of all, the others learn by it that the leader's life is over.
             self.next_heartbeat = self.now;
-            if self.is_first_heir() {
+            if self.is_first_successor() {
                 self.read_ledger();
             }
         }
@@ -223,7 +223,7 @@
                     watch.next_at = self.now + MANY_PAUSE;
                 }
                 for change in changes {
-                    self.take_cell_row(&change.key, change.value.as_deref(), change.version);
+                    self.handle_cell_row(&change.key, change.value.as_deref(), change.version);
                 }
             }
             StoreOutcome::HistoryGone => {
@@ -237,7 +237,7 @@
 
     fn end_workers(&mut self, outcome: StoreOutcome, full: bool, reading: u64) {
         // An answer to what was asked during an earlier lead belongs to no reading of now.
-        if reading != self.worker_reading.number() {
+        if reading != self.entry_scan.number() {
             return;
         }
         match outcome {
@@ -248,18 +248,18 @@
             } => {
                 let last = entries.last().map(|(id, _)| id.to_string());
                 if full {
-                    self.worker_reading.note_page(&entries, version);
+                    self.entry_scan.note_page(&entries, version);
                 }
-                self.take_worker_entries(entries, full);
+                self.handle_worker_entries(entries, full);
                 if more {
                     // A sign before all that ids are made of, so that the last one is not read again.
                     let from = format!("{}!", last.unwrap_or_default());
                     let request = StoreRequest::ReadWorkers { from };
-                    self.ask_store(StorePurpose::Workers { full, reading }, request);
+                    self.send_store_request(StorePurpose::Workers { full, reading }, request);
                     return;
                 }
                 let version = if full {
-                    self.end_worker_list().unwrap_or(version)
+                    self.finish_entry_scan().unwrap_or(version)
                 } else {
                     version
                 };
--- a/crates/bankvalve_queue/src/core/questions.rs
+++ b/crates/bankvalve_queue/src/core/store_requests.rs
@@ -47,7 +47,7 @@
 
 /// A request to the table that has no answer yet.
 #[derive(Debug)]
-pub(super) struct OpenQuestion {
+pub(super) struct OpenStoreRequest {
     pub(super) purpose: StorePurpose,
     pub(super) asked_at: CoreTime,
     /// Time for which the table itself may wait for a change.
@@ -58,14 +58,14 @@
 
 /// How long the table takes, and answers of each kind.
 #[derive(Debug, Default)]
-pub(super) struct StorePatience {
+pub(super) struct StoreTimeouts {
     /// Doublings of the usual wait, by kind of request.
     doublings: BTreeMap<QuestionKind, u32>,
     /// Usual time of a small answer, lately; none before the first.
     pub(super) latency: Option<Duration>,
 }
 
-impl StorePatience {
+impl StoreTimeouts {
     /// Usual time of a small answer, lately.
     pub(super) fn usual(&self) -> Duration {
         self.latency.unwrap_or_default()
@@ -90,7 +90,7 @@
     }
 }
 
-impl OpenQuestion {
+impl OpenStoreRequest {
     fn kind(&self) -> QuestionKind {
         (self.purpose.name(), !self.waits.is_zero())
     }
@@ -146,7 +146,11 @@
 
 impl EntryCore {
     /// Asks the table, and waits for its answer as long as the last ones of its kind ask for.
-    pub(super) fn ask_store(&mut self, purpose: StorePurpose, request: StoreRequest) -> Ticket {
+    pub(super) fn send_store_request(
+        &mut self,
+        purpose: StorePurpose,
+        request: StoreRequest,
+    ) -> Ticket {
         let (base, waits) = match &request {
             StoreRequest::Transact { .. } => (WRITE_TIME, Duration::ZERO),
             StoreRequest::Watch { wait_ms, .. }
@@ -156,10 +160,10 @@
             }
             _ => (READ_TIME, Duration::ZERO),
         };
-        let patience = &self.store_patience;
+        let patience = &self.store_timeouts;
         let kind = (purpose.name(), !waits.is_zero());
         let doublings = patience.doublings.get(&kind).copied();
-        let doublings = doublings.filter(|_| self.keeps(SiteGuard::GrowingPatience));
+        let doublings = doublings.filter(|_| self.enforces(SiteGuard::GrowingPatience));
         let time = (base * 2_u32.pow(doublings.unwrap_or(0)))
             .max(patience.usual() * LATENCY_FACTOR)
             .min(LONGEST_TIME);
@@ -167,7 +171,7 @@
     }
 
     /// Asks the table and waits for its answer no longer than a time.
-    pub(super) fn ask_store_within(
+    pub(super) fn send_store_request_within(
         &mut self,
         purpose: StorePurpose,
         request: StoreRequest,
@@ -185,13 +189,13 @@
     ) -> Ticket {
         let time = waits + time;
         let ticket = self.take_ticket();
-        let question = OpenQuestion {
+        let question = OpenStoreRequest {
             purpose,
             asked_at: self.now,
             waits,
             due_at: self.now + time + FORGOTTEN_AFTER,
         };
-        self.store_tickets.insert(ticket, question);
+        self.open_store_requests.insert(ticket, question);
         self.actions.push(CoreAction::Store {
             ticket,
             request,
@@ -201,44 +205,44 @@
     }
 
     /// Notes how an answer came, or that none did.
-    pub(super) fn note_answer_time(&mut self, question: &OpenQuestion, outcome: &StoreOutcome) {
+    pub(super) fn note_answer_time(&mut self, question: &OpenStoreRequest, outcome: &StoreOutcome) {
         let took = self.age(question.asked_at);
         let kind = question.kind();
         match outcome {
             StoreOutcome::Lost => {
                 let most = question.most_doublings();
-                self.store_patience.note_missed(kind, most);
+                self.store_timeouts.note_missed(kind, most);
             }
             StoreOutcome::Busy => {}
             _ => {
                 let carried = took.saturating_sub(question.waits);
-                self.store_patience.note_came(kind, carried);
+                self.store_timeouts.note_came(kind, carried);
                 if question.purpose.is_small() {
-                    self.store_patience.note_latency(took);
+                    self.store_timeouts.note_latency(took);
                 }
             }
         }
     }
 
     /// The answer to a request has begun to arrive, and is waited for as long as it goes on.
-    pub(super) fn extend_question(&mut self, ticket: Ticket) {
-        if let Some(question) = self.store_tickets.get_mut(&ticket) {
+    pub(super) fn extend_store_request(&mut self, ticket: Ticket) {
+        if let Some(question) = self.open_store_requests.get_mut(&ticket) {
             question.due_at = question.due_at.max(self.now + LONGEST_ANSWER);
         }
     }
 
     /// Ends requests of whose end no word came, as lost.
-    pub(super) fn end_forgotten_questions(&mut self) {
+    pub(super) fn expire_store_requests(&mut self) {
         let now = self.now;
         let forgotten: Vec<Ticket> = self
-            .store_tickets
+            .open_store_requests
             .iter()
             .filter(|(_, question)| now > question.due_at)
             .map(|(ticket, _)| *ticket)
             .collect();
         for ticket in forgotten {
             self.counters.count("retries", "store_forgotten");
-            self.take_store(ticket, StoreOutcome::Lost);
+            self.handle_store_answer(ticket, StoreOutcome::Lost);
         }
     }
 }
--- a/crates/bankvalve_queue/src/core/submissions.rs
+++ b/crates/bankvalve_queue/src/core/submissions.rs
@@ -4,7 +4,7 @@
 
 use super::callers::RETRY_MS;
 use super::commit::{Effect, Origin};
-use super::withdraw::STORE_RETRY_MS;
+use super::job_withdrawal::STORE_RETRY_MS;
 use super::EntryCore;
 use crate::caller::{CallerAnswer, RefusalReason};
 use crate::ids::JobId;
@@ -24,7 +24,7 @@
                 self.refuse_stranger(origin, job, owner.as_deref(), other.as_deref());
                 return;
             }
-            if self.store_is_away() && self.is_unkept(job) {
+            if self.store_is_unavailable() && self.is_unkept(job) {
                 self.answer(origin, CallerAnswer::Unknown);
                 return;
             }
@@ -50,7 +50,7 @@
     /// Why a new job is refused now, and when its caller may come back, in milliseconds.
     fn refusal_of(&mut self, spec: &JobSpec) -> Option<(RefusalReason, u64)> {
         let pending = self.lead.as_ref().map_or(0, |lead| lead.pending.len());
-        if self.store_is_away() {
+        if self.store_is_unavailable() {
             return Some((RefusalReason::StoreAway, STORE_RETRY_MS));
         }
         if pending > PENDING_LIMIT {
--- a/crates/bankvalve_queue/src/core/suspects.rs
+++ b/crates/bankvalve_queue/src/core/suspects.rs
@@ -16,15 +16,15 @@
 //! ended under one. A gang's suspects start together, so they may take more. A suspect that has waited
 //! too long for its start or for a free worker starts beside other runs. After a second end it starts
 //! only beside runs that are not new, where an end is as strong evidence. A long-running task waits only
-//! until [`is_pressed`](EntryCore::is_pressed) returns true, which counts all of its waits.
+//! until [`is_past_restart_deadline`](EntryCore::is_past_restart_deadline) returns true, which counts all of its waits.
 
 use std::time::Duration;
 
 use super::commit::Effect;
 use super::incarnation::Incarnation;
-use super::lead::LeadState;
+use super::lead_state::LeadState;
 use super::live_run::{LiveRun, RunPhase};
-use super::seat::{LifeEnd, LossSpan, Seat};
+use super::worker_state::{LossWindow, ProcessEnd, WorkerState};
 use super::EntryCore;
 use crate::guard::SiteGuard;
 use crate::ids::{CoreTime, RunId, StepKey, TaskKey, WorkerId};
@@ -85,12 +85,12 @@
     worker: Incarnation,
     address: String,
     /// Time in which it was lost.
-    span: LossSpan,
+    span: LossWindow,
 }
 
 /// What the leader knows about a worker's end.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct SeatLoss {
+pub(super) struct LossFacts {
     /// Whether the process is known to have ended. A worker that does not respond may be cut off and still
     /// run. Unless a new process answers, its end is known only if its port refuses connections and its
     /// entry is gone.
@@ -109,7 +109,7 @@
 
 /// Crash history of the suspects of a step that are to start.
 #[derive(Clone, Copy, Debug, Default)]
-pub(super) struct SuspectStand {
+pub(super) struct SuspectHistory {
     /// Whether a worker ended right after the start of one of them.
     young: bool,
     /// Whether one of them must not start beside other new runs.
@@ -120,7 +120,7 @@
     hurried: bool,
 }
 
-impl SuspectStand {
+impl SuspectHistory {
     /// Combines the histories of tasks, each with whether it is past its restart deadline.
     pub(super) fn of<'a>(tasks: impl Iterator<Item = (&'a TaskRecord, bool)>) -> Self {
         let mut stand = Self::default();
@@ -128,8 +128,8 @@
             let Some(count) = task.crash_count() else {
                 continue;
             };
-            stand.young |= count.is_young();
-            stand.grave |= count.is_grave();
+            stand.young |= count.has_early_crash();
+            stand.grave |= count.must_be_isolated();
             stand.proven |= count.has_proof();
             stand.hurried |= hurried;
         }
@@ -139,43 +139,43 @@
 
 /// How a suspect may start now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum TrialTurn {
+pub(super) enum TrialMode {
     /// On a worker where nothing else runs.
-    Alone,
+    Isolated,
     /// On a worker without other new runs, and no new run joins it: no worker became free in time.
-    Apart,
+    ApartFromNew,
     /// Beside any other runs, because it has waited long enough.
-    Among,
+    AmongOthers,
     /// Not yet.
-    Later,
+    Deferred,
 }
 
 impl EntryCore {
     /// Returns what is known about a worker's end, to weigh it as evidence against its runs.
-    pub(super) fn loss_of(&self, id: &WorkerId, end: LifeEnd) -> Option<SeatLoss> {
+    pub(super) fn loss_of(&self, id: &WorkerId, end: ProcessEnd) -> Option<LossFacts> {
         let lead = self.lead.as_deref()?;
-        let seat = lead.seats.get(id)?;
-        Some(lead.loss_of(id, seat, Some(end), self.now))
+        let state = lead.worker_states.get(id)?;
+        Some(lead.loss_of(id, state, Some(end), self.now))
     }
 
     /// Returns how a run ended on a worker that was declared lost or has restarted.
     pub(super) fn end_with_worker(
         &self,
-        seat: &Seat,
-        loss: &SeatLoss,
+        state: &WorkerState,
+        loss: &LossFacts,
         task: &TaskKey,
         live: &LiveRun,
     ) -> EndKind {
         if let Some(how) = live.ended_as {
             return how;
         }
-        if live.phase == RunPhase::Ordered && !live.may_have_begun() {
+        if live.phase == RunPhase::Ordered && !live.may_have_started() {
             return EndKind::NeverRan;
         }
         if let Some(evidence) = live.crash {
             return EndKind::Crashed(evidence);
         }
-        let evidence = self.crash_of(seat, loss, task, live);
+        let evidence = self.crash_of(state, loss, task, live);
         let evidence = evidence.filter(|_| loss.is_end);
         evidence.map_or(EndKind::Lost, EndKind::Crashed)
     }
@@ -183,31 +183,34 @@
     /// Commits the evidence of a worker's end against runs that had just started, once its port has refused
     /// connections for a while. The runs are declared lost only when the lease has expired, and this leader
     /// may fail before that.
-    pub(super) fn keep_crashes(&mut self, id: &WorkerId) {
+    pub(super) fn propose_crash_evidence(&mut self, id: &WorkerId) {
         let now = self.now;
         let Some(lead) = self.lead.as_deref() else {
             return;
         };
-        let Some(seat) = lead.seats.get(id) else {
+        let Some(state) = lead.worker_states.get(id) else {
             return;
         };
-        let refused_for = seat.refused_at.map(|at| now.saturating_sub(at));
-        if seat.end_kept || !seat.refused || refused_for.is_none_or(|time| time < SEEN_TIME) {
+        let refused_for = state.refused_at.map(|at| now.saturating_sub(at));
+        if state.crash_evidence_proposed
+            || !state.refused
+            || refused_for.is_none_or(|time| time < SEEN_TIME)
+        {
             return;
         }
-        let loss = lead.loss_of(id, seat, None, now);
+        let loss = lead.loss_of(id, state, None, now);
         let seen = |(task, live): (&TaskKey, &LiveRun)| {
-            let evidence = self.crash_of(seat, &loss, task, live)?;
+            let evidence = self.crash_of(state, &loss, task, live)?;
             (evidence.weight != CrashWeight::Weak).then_some((*task, live.run, evidence))
         };
         let seen: Vec<(TaskKey, RunId, CrashEvidence)> =
-            seat.runs.iter().filter_map(seen).collect();
-        if let Some(seat) = self
+            state.runs.iter().filter_map(seen).collect();
+        if let Some(state) = self
             .lead
             .as_deref_mut()
-            .and_then(|lead| lead.seats.get_mut(id))
+            .and_then(|lead| lead.worker_states.get_mut(id))
         {
-            seat.end_kept = true;
+            state.crash_evidence_proposed = true;
         }
         for (task, run, evidence) in seen {
             let lead = self.lead.as_deref_mut();
@@ -227,26 +230,26 @@
     /// Returns the evidence of a worker's end against a run, or `None` if the end does not count against it.
     fn crash_of(
         &self,
-        seat: &Seat,
-        loss: &SeatLoss,
+        state: &WorkerState,
+        loss: &LossFacts,
         task: &TaskKey,
         live: &LiveRun,
     ) -> Option<CrashEvidence> {
         let order = loss.over_at.zip(live.ordered_at);
         let had_ended = order.is_some_and(|(over, ordered)| over <= ordered);
-        let counts = live.may_have_begun()
+        let counts = live.may_have_started()
             && !had_ended
-            && !seat.left_as_planned()
-            && live.lived() < LONG_LIFE
-            && self.keeps(SiteGuard::CrashBudget);
-        counts.then(|| self.evidence_of(seat, loss, task, live))
+            && !state.left_as_announced()
+            && live.known_run_time() < LONG_LIFE
+            && self.enforces(SiteGuard::CrashBudget);
+        counts.then(|| self.evidence_of(state, loss, task, live))
     }
 
     /// Collects what was seen of a worker's end into evidence against a run.
     fn evidence_of(
         &self,
-        seat: &Seat,
-        loss: &SeatLoss,
+        state: &WorkerState,
+        loss: &LossFacts,
         task: &TaskKey,
         live: &LiveRun,
     ) -> CrashEvidence {
@@ -258,7 +261,7 @@
         let alive_ms = live.listed_at.map_or(0, since_order);
         let over = loss.over_at.filter(|_| live.ordered_at.is_some());
         let over_ms = over.map(since_order);
-        let beside = seat
+        let beside = state
             .runs
             .iter()
             .filter(|(other, run)| *other != task && run.is_new(loss.at));
@@ -273,7 +276,7 @@
             (chance.min(1.0) * MILLION).ceil() as u32
         });
         let sole = beside == 0 && !loss.is_storm;
-        let guarded = self.keeps(SiteGuard::AloneEvidence);
+        let guarded = self.enforces(SiteGuard::AloneEvidence);
         let (sole, chance_ppm) = if guarded {
             (sole, chance_ppm)
         } else {
@@ -281,7 +284,7 @@
         };
         let within = |over: u32, life: Duration| u128::from(over) <= life.as_millis();
         // At a greater age, only if nothing else ran there and an earlier run ended at the same age.
-        let again = again.is_some_and(|span| span <= AGAIN_SPAN_MS) && seat.runs.len() == 1;
+        let again = again.is_some_and(|span| span <= AGAIN_SPAN_MS) && state.runs.len() == 1;
         let proof = |over: u32| {
             sole && confirmed
                 && chance_ppm <= PROOF_LIMIT_PPM
@@ -310,22 +313,23 @@
         let Some(lead) = self.lead.as_deref_mut() else {
             return;
         };
-        let Some(seat) = lead.seats.get_mut(id) else {
+        let Some(state) = lead.worker_states.get_mut(id) else {
             return;
         };
-        seat.over = true;
+        state.declared_lost = true;
         // A worker that never answered this leader was lost before this leader started.
-        if !seat.proved || seat.is_ended_by_task() || held || seat.left_as_planned() {
+        if !state.token_accepted || state.is_crashed_by_task() || held || state.left_as_announced()
+        {
             return;
         }
-        let number = seat.number;
+        let number = state.number;
         let loss = WorkerLoss {
             worker: Incarnation {
                 worker: id.clone(),
                 number,
             },
-            address: seat.entry.address.clone(),
-            span: seat.lost_within(),
+            address: state.entry.address.clone(),
+            span: state.loss_window(),
         };
         lead.worker_losses.retain(|old| {
             let lately = now.saturating_sub(old.span.last) <= RATE_TIME;
@@ -335,14 +339,14 @@
     }
 
     /// Returns how the suspects of a step may start now.
-    pub(super) fn turn_of(&mut self, step: StepKey, stand: SuspectStand) -> TrialTurn {
-        self.note_room_wait(step);
+    pub(super) fn trial_mode(&mut self, step: StepKey, stand: SuspectHistory) -> TrialMode {
+        self.note_capacity_wait(step);
         let now = self.now;
         let Some(lead) = self.lead.as_deref_mut() else {
-            return TrialTurn::Later;
+            return TrialMode::Deferred;
         };
         lead.end_trials();
-        let waited = lead.room_waits.get(&step).copied().unwrap_or(now);
+        let waited = lead.capacity_waits.get(&step).copied().unwrap_or(now);
         let patience = if stand.young {
             YOUNG_PATIENCE
         } else {
@@ -356,11 +360,11 @@
         let calm_from = now.saturating_sub(CALM_TIME);
         let storm = || calm_from < lead.began_at || lead.is_common(lead.lost_since(calm_from, now));
         match (impatient, grave) {
-            (true, false) if among => TrialTurn::Among,
-            (true, _) => TrialTurn::Apart,
-            (false, _) if !lead.has_turn_for(step) => TrialTurn::Later,
-            (false, _) if stand.young && storm() => TrialTurn::Later,
-            (false, _) => TrialTurn::Alone,
+            (true, false) if among => TrialMode::AmongOthers,
+            (true, _) => TrialMode::ApartFromNew,
+            (false, _) if !lead.has_turn_for(step) => TrialMode::Deferred,
+            (false, _) if stand.young && storm() => TrialMode::Deferred,
+            (false, _) => TrialMode::Isolated,
         }
     }
 
@@ -368,25 +372,26 @@
     /// join them.
     pub(super) fn end_due_trials(&mut self, id: &WorkerId) {
         let lead = self.lead.as_deref().filter(|lead| !lead.trials.is_empty());
-        let Some(seat) = lead.and_then(|lead| lead.seats.get(id)) else {
+        let Some(state) = lead.and_then(|lead| lead.worker_states.get(id)) else {
             return;
         };
-        let due =
-            |task: &TaskKey, live: &LiveRun| live.on_trial && live.lived() >= self.trial_time(task);
-        let due: Vec<(TaskKey, TaskSize)> = seat
+        let due = |task: &TaskKey, live: &LiveRun| {
+            live.on_trial && live.known_run_time() >= self.trial_time(task)
+        };
+        let due: Vec<(TaskKey, TaskSize)> = state
             .runs
             .iter()
             .filter(|(task, live)| due(task, live))
-            .map(|(task, _)| (*task, self.room_of(*task)))
+            .map(|(task, _)| (*task, self.resources_of(*task)))
             .collect();
         let Some(lead) = self.lead.as_deref_mut() else {
             return;
         };
         for (task, room) in due {
-            if let Some(seat) = lead.seats.get_mut(id) {
-                seat.end_trial(&task, room);
+            if let Some(state) = lead.worker_states.get_mut(id) {
+                state.end_trial(&task, room);
             }
-            lead.stale = true;
+            lead.placement_due = true;
         }
     }
 
@@ -398,19 +403,21 @@
     }
 
     /// Returns the resources that a task takes according to its step.
-    pub(super) fn room_of(&self, task: TaskKey) -> TaskSize {
+    pub(super) fn resources_of(&self, task: TaskKey) -> TaskSize {
         let job = self.book.job(task.step.job);
         let spec = job.and_then(|job| job.spec.steps.get(usize::from(task.step.step)));
-        spec.map(|spec| spec.room()).unwrap_or_default()
+        spec.map(|spec| spec.resources()).unwrap_or_default()
     }
 }
 
 impl LeadState {
     /// Forgets trials that have ended.
     fn end_trials(&mut self) {
-        let seats = &self.seats;
+        let worker_states = &self.worker_states;
         self.trials.retain(|task, worker| {
-            let live = seats.of(worker).and_then(|seat| seat.runs.get(task));
+            let live = worker_states
+                .get_incarnation(worker)
+                .and_then(|state| state.runs.get(task));
             live.is_some_and(|live| live.on_trial)
         });
     }
@@ -419,28 +426,34 @@
     fn has_turn_for(&self, step: StepKey) -> bool {
         let of_step = |task: &TaskKey| task.step == step;
         let is_well = |worker: &Incarnation| {
-            let seat = self.seats.of(worker);
-            seat.is_some_and(|seat| !seat.refused)
+            let state = self.worker_states.get_incarnation(worker);
+            state.is_some_and(|state| !state.refused)
         };
         let tried = self
             .trials
             .values()
             .filter(|worker| is_well(worker))
             .count();
-        tried < (self.seats.len() / TRIAL_SHARE).max(1)
-            && self.trials.len() < (self.seats.len() / HELD_SHARE).max(2)
+        tried < (self.worker_states.len() / TRIAL_SHARE).max(1)
+            && self.trials.len() < (self.worker_states.len() / HELD_SHARE).max(2)
             && !self.trials.keys().any(of_step)
     }
 
     /// Returns what is known about a worker's end.
-    fn loss_of(&self, id: &WorkerId, seat: &Seat, end: Option<LifeEnd>, now: CoreTime) -> SeatLoss {
-        let other_life = matches!(end, Some(LifeEnd::OtherLife | LifeEnd::Restarted));
-        let over_at = seat.refused_at.or(other_life.then_some(now));
-        let at = over_at.unwrap_or(seat.lost_within().last);
+    fn loss_of(
+        &self,
+        id: &WorkerId,
+        state: &WorkerState,
+        end: Option<ProcessEnd>,
+        now: CoreTime,
+    ) -> LossFacts {
+        let other_life = matches!(end, Some(ProcessEnd::OtherLife | ProcessEnd::Restarted));
+        let over_at = state.refused_at.or(other_life.then_some(now));
+        let at = over_at.unwrap_or(state.loss_window().last);
         let others = self.lost_beside(id, at, now);
-        let rate = self.loss_rate(&seat.entry.address, now);
-        SeatLoss {
-            is_end: other_life || (!seat.listed && seat.refused),
+        let rate = self.loss_rate(&state.entry.address, now);
+        LossFacts {
+            is_end: other_life || (!state.listed && state.refused),
             over_at,
             at,
             others,
@@ -451,26 +464,26 @@
 
     /// Returns workers that were lost without counting against a task, and when: those declared lost, and
     /// those that do not respond now.
-    fn losses(&self, now: CoreTime) -> impl Iterator<Item = (&WorkerId, LossSpan)> {
+    fn losses(&self, now: CoreTime) -> impl Iterator<Item = (&WorkerId, LossWindow)> {
         let over = self
             .worker_losses
             .iter()
             .map(|loss| (&loss.worker.worker, loss.span));
-        let told = |id: &WorkerId, seat: &Seat| {
+        let told = |id: &WorkerId, state: &WorkerState| {
             let mut losses = self.worker_losses.iter().map(|loss| &loss.worker);
-            losses.any(|lost| lost.worker == *id && lost.number == seat.number)
+            losses.any(|lost| lost.worker == *id && lost.number == state.number)
         };
-        let silent = self.seats.iter().filter(move |(_, seat)| {
-            seat.is_lost(now) && !seat.is_ended_by_task() && !seat.left_as_planned()
+        let silent = self.worker_states.iter().filter(move |(_, state)| {
+            state.is_lost(now) && !state.is_crashed_by_task() && !state.left_as_announced()
         });
-        let silent = silent.filter(move |(id, seat)| !told(id, seat));
-        over.chain(silent.map(|(id, seat)| (id, seat.lost_within())))
+        let silent = silent.filter(move |(id, state)| !told(id, state));
+        over.chain(silent.map(|(id, state)| (id, state.loss_window())))
     }
 
     /// Returns the number of other workers that were lost at about the same time as one.
     fn lost_beside(&self, id: &WorkerId, at: CoreTime, now: CoreTime) -> usize {
         let (from, until) = (at.saturating_sub(COMMON_TIME), at + COMMON_TIME);
-        let near = |span: &LossSpan| span.first <= until && span.last >= from;
+        let near = |span: &LossWindow| span.first <= until && span.last >= from;
         let losses = self.losses(now);
         let others = losses.filter(|(other, span)| *other != id && near(span));
         others.count()
@@ -485,12 +498,12 @@
 
     /// Returns whether so many losses within a short time are too many for a trial run.
     fn is_common(&self, others: usize) -> bool {
-        others >= (self.seats.len() / COMMON_SHARE).max(1)
+        others >= (self.worker_states.len() / COMMON_SHARE).max(1)
     }
 
     /// Returns whether so many others were lost with a worker that its end is only weak evidence.
     fn is_storm(&self, others: usize) -> bool {
-        others >= (self.seats.len() / STORM_SHARE).max(STORM_LEAST)
+        others >= (self.worker_states.len() / STORM_SHARE).max(STORM_LEAST)
     }
 
     /// Returns the loss rate of one worker, per second, while so many others are lost at once.
@@ -498,7 +511,7 @@
         if others == 0 {
             return 0.0;
         }
-        let workers = self.seats.len().max(1) as f64;
+        let workers = self.worker_states.len().max(1) as f64;
         (others + 1) as f64 / ((COMMON_TIME * 2).as_secs_f64() * workers)
     }
 
@@ -508,7 +521,7 @@
         let led = now.saturating_sub(self.began_at);
         let time = led.clamp(LEAST_RATE_TIME, RATE_TIME);
         let lost = self.lost_since(now.saturating_sub(time), now) + 1;
-        let of_all = lost as f64 / (time.as_secs_f64() * self.seats.len().max(1) as f64);
+        let of_all = lost as f64 / (time.as_secs_f64() * self.worker_states.len().max(1) as f64);
         let here = self
             .worker_losses
             .iter()
--- a/crates/bankvalve_queue/src/core/table_pull.rs
+++ b/crates/bankvalve_queue/src/core/table_pull.rs
@@ -8,7 +8,7 @@
 use super::EntryCore;
 use crate::core::CoreAction;
 use crate::ids::CoreTime;
-use crate::peer::{peer_time, PeerAddress, PeerMessage};
+use crate::peer::{peer_batch_timeout, PeerAddress, PeerMessage};
 
 /// Peers that are asked at a time: some may be dead, or have no newer one either.
 const ASKED_AT_ONCE: usize = 3;
@@ -32,7 +32,7 @@
 
 /// A configuration that is on its way to a peer.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct PeerGift {
+pub(super) struct OutgoingCopy {
     to: PeerAddress,
     version: u64,
     until: CoreTime,
@@ -68,7 +68,7 @@
         self.log("config", "pull", version.to_string(), detail);
         self.counters.count("config", "pull");
         for peer in asked {
-            self.tell(peer, PeerMessage::TableWanted { version });
+            self.send_message(peer, PeerMessage::TableWanted { version });
         }
     }
 
@@ -78,7 +78,7 @@
         let own = self.table_version();
         let leader = self.leader.as_ref().map(|leader| leader.address);
         let others: Vec<PeerAddress> = self
-            .near_members()
+            .preferred_members()
             .into_iter()
             .filter(|address| Some(*address) != leader)
             .collect();
@@ -87,8 +87,8 @@
                 return false;
             };
             // A member that is not near does not hear the near ones.
-            let newer = peer.news.table_version > own || !peer.is_live(self.now);
-            newer && !peer.news.stopping
+            let newer = peer.heartbeat.table_version > own || !peer.is_live(self.now);
+            newer && !peer.heartbeat.stopping
         };
         let mut givers: Vec<PeerAddress> = others.into_iter().filter(may_have).collect();
         if givers.is_empty() || self.tables.pull.rounds % 2 == 1 {
@@ -100,56 +100,59 @@
     /// Tells whether a copy is on its way to another peer.
     fn is_giving(&self, but_to: PeerAddress) -> bool {
         let now = self.now;
-        let other = self.tables.gift.filter(|gift| gift.to != but_to);
-        other.is_some_and(|gift| now < gift.until)
+        let other = self
+            .tables
+            .outgoing
+            .filter(|outgoing| outgoing.to != but_to);
+        other.is_some_and(|outgoing| now < outgoing.until)
     }
 
     /// A peer asks for a newer configuration than it has.
-    pub(super) fn take_table_wanted(&mut self, from: PeerAddress, version: u64) {
+    pub(super) fn handle_table_wanted(&mut self, from: PeerAddress, version: u64) {
         let bytes = self.tables.raw.len() as u64;
         if self.table_version() <= version || self.is_giving(from) || bytes == 0 {
             self.counters.count("config", "pull_refused");
             return;
         }
         let version = self.table_version();
-        self.tell(from, PeerMessage::TableOffer { version, bytes });
+        self.send_message(from, PeerMessage::TableOffer { version, bytes });
     }
 
     /// A peer has a newer configuration to give.
-    pub(super) fn take_table_offer(&mut self, from: PeerAddress, version: u64, bytes: u64) {
+    pub(super) fn handle_table_offer(&mut self, from: PeerAddress, version: u64, bytes: u64) {
         let now = self.now;
         let wanted = version > self.table_version() && self.tables.is_unanswered(now);
         let pull = &mut self.tables.pull;
         if !wanted || pull.giver.is_some_and(|(_, until)| now < until) {
             return;
         }
-        pull.giver = Some((from, now + peer_time(bytes as usize)));
-        self.tell(from, PeerMessage::TableTaken);
+        pull.giver = Some((from, now + peer_batch_timeout(bytes as usize)));
+        self.send_message(from, PeerMessage::TableTaken);
     }
 
     /// A peer takes the configuration that it was offered.
-    pub(super) fn take_table_taken(&mut self, from: PeerAddress) {
+    pub(super) fn handle_table_taken(&mut self, from: PeerAddress) {
         if self.is_giving(from) {
             // Another was quicker; it asks again when this one does not come.
             self.counters.count("config", "pull_refused");
-            self.tell(from, PeerMessage::TableRefused);
+            self.send_message(from, PeerMessage::TableRefused);
             return;
         }
         let version = self.table_version();
         let raw = self.tables.raw.clone();
         let bytes = raw.len();
-        self.tables.gift = Some(PeerGift {
+        self.tables.outgoing = Some(OutgoingCopy {
             to: from,
             version,
-            until: self.now + peer_time(bytes),
+            until: self.now + peer_batch_timeout(bytes),
         });
         self.log("config", "pass_on", from.to_string(), version.to_string());
         self.counters.count("config", "passed_on");
-        self.tell(from, PeerMessage::Table { raw });
+        self.send_message(from, PeerMessage::Table { raw });
     }
 
     /// A peer does not give its configuration after all, or is not reached.
-    pub(super) fn lose_giver(&mut self, peer: PeerAddress) {
+    pub(super) fn drop_source(&mut self, peer: PeerAddress) {
         let pull = &mut self.tables.pull;
         if pull.giver.is_some_and(|(giver, _)| giver == peer) {
             pull.giver = None;
@@ -158,7 +161,7 @@
     }
 
     /// A configuration came from a peer.
-    pub(super) fn take_peer_table(&mut self, raw: Vec<u8>) {
+    pub(super) fn handle_peer_table(&mut self, raw: Vec<u8>) {
         self.tables.pull = PeerPull {
             next_at: self.now + PULL_PAUSE,
             ..PeerPull::default()
@@ -167,10 +170,10 @@
     }
 
     /// A peer has a version in force, so a copy on its way to it has arrived.
-    pub(super) fn end_gift(&mut self, peer: PeerAddress, version: u64) {
-        let arrived = |gift: &PeerGift| gift.to == peer && version >= gift.version;
-        if self.tables.gift.as_ref().is_some_and(arrived) {
-            self.tables.gift = None;
+    pub(super) fn finish_outgoing_copy(&mut self, peer: PeerAddress, version: u64) {
+        let arrived = |outgoing: &OutgoingCopy| outgoing.to == peer && version >= outgoing.version;
+        if self.tables.outgoing.as_ref().is_some_and(arrived) {
+            self.tables.outgoing = None;
         }
     }
 }
--- a/crates/bankvalve_queue/src/core/table_watch.rs
+++ b/crates/bankvalve_queue/src/core/table_watch.rs
@@ -9,7 +9,7 @@
 
 use super::denials::DenialLookup;
 use super::store_link::{StorePurpose, WatchState, RETRY_PAUSE};
-use super::table_pull::{PeerGift, PeerPull};
+use super::table_pull::{OutgoingCopy, PeerPull};
 use super::EntryCore;
 use crate::core::CoreAction;
 use crate::guard::SiteGuard;
@@ -75,7 +75,7 @@
     /// When the table last answered a question about the configuration.
     pub(super) confirmed: Option<CoreTime>,
     pub(super) pull: PeerPull,
-    pub(super) gift: Option<PeerGift>,
+    pub(super) outgoing: Option<OutgoingCopy>,
     pub(super) lookups: Vec<DenialLookup>,
     /// When the configuration in force was last known to be the newest, by the table or by a peer
     /// with the same one.
@@ -123,7 +123,7 @@
                 StoreRequest::WatchOperator { after, wait_ms }
             }
         };
-        self.ask_store(StorePurpose::Operator, request);
+        self.send_store_request(StorePurpose::Operator, request);
     }
 
     /// Asks the table now whether there is a newer version, if a peer told of one or a caller asks
@@ -153,7 +153,7 @@
             whole,
         });
         self.counters.count("config", "question");
-        self.ask_store(StorePurpose::AskOperator, request);
+        self.send_store_request(StorePurpose::AskOperator, request);
     }
 
     /// Tells whether a peer told of a version that is not in force here.
@@ -168,7 +168,7 @@
     }
 
     /// A peer has a version in force that it knew to be the newest so long ago.
-    pub(super) fn hear_of_newest(&mut self, version: u64, age_ms: Option<u64>) {
+    pub(super) fn note_newest_version(&mut self, version: u64, age_ms: Option<u64>) {
         let Some(age_ms) = age_ms.filter(|_| version == self.table_version()) else {
             return;
         };
@@ -187,7 +187,7 @@
     }
 
     /// A peer has a version in force, as it told.
-    pub(super) fn hear_of_table(&mut self, from: PeerAddress, version: u64) {
+    pub(super) fn note_announced_version(&mut self, from: PeerAddress, version: u64) {
         let own = self.table_version();
         if version <= own || version <= self.tables.announced {
             return;
@@ -203,15 +203,15 @@
 
     /// The answer to a request has begun to arrive.
     pub(super) fn store_begins(&mut self, ticket: Ticket) {
-        let question = self.store_tickets.get(&ticket);
+        let question = self.open_store_requests.get(&ticket);
         let purpose = question.map(|question| &question.purpose);
         if matches!(
             purpose,
             Some(StorePurpose::Operator | StorePurpose::AskOperator)
         ) {
-            self.extend_question(ticket);
+            self.extend_store_request(ticket);
             self.tables.arriving = Some(ticket);
-            self.store_heard = Some(self.now);
+            self.store_last_contact = Some(self.now);
         }
     }
 
@@ -324,7 +324,7 @@
         }
         // The whole row is read again when the history is forgotten.
         let same = self.table.is_some() && known == version;
-        if same || (older && self.keeps(SiteGuard::NewerTable)) {
+        if same || (older && self.enforces(SiteGuard::NewerTable)) {
             return;
         }
         let detail = format!(
@@ -339,12 +339,12 @@
             .queues()
             .map(|queue| queue.terms.service.clone())
             .collect();
-        self.name_services(services);
+        self.note_services_in_use(services);
         self.table = Some(table);
         self.tables.raw = raw;
         self.tables.since = self.now;
         if let Some(lead) = self.lead.as_deref_mut() {
-            lead.stale = true;
+            lead.placement_due = true;
         }
     }
 }
--- a/crates/bankvalve_queue/src/core/task_waits.rs
+++ b/crates/bankvalve_queue/src/core/task_waits.rs
@@ -118,18 +118,18 @@
 /// Numbers of tasks that have run before and do not run now, by reason, as of the leader's last scan.
 #[derive(Clone, Debug, Default)]
 pub struct TaskWaits {
-    pub(super) unheard: [u64; WaitReason::ALL.len()],
+    pub(super) lost_contact: [u64; WaitReason::ALL.len()],
     pub(super) starts: [u64; StartWait::ALL.len()],
     /// Longest time since the last contact with a worker for which a task waits.
-    pub oldest_unheard: Option<Duration>,
+    pub oldest_lost_contact: Option<Duration>,
     /// Longest time since the end of a run whose task waits to start again.
     pub oldest_start: Option<Duration>,
 }
 
 impl TaskWaits {
     /// Returns the number of tasks that wait for a worker that is out of contact, for a reason.
-    pub fn unheard(&self, reason: WaitReason) -> u64 {
-        self.unheard[reason as usize]
+    pub fn lost_contact(&self, reason: WaitReason) -> u64 {
+        self.lost_contact[reason as usize]
     }
 
     /// Returns the number of tasks whose run ended at least two seconds ago and that wait to start, for a
@@ -147,12 +147,12 @@
     /// assert!(waits.quantities().all(|(_, tasks)| tasks == 0));
     /// ```
     pub fn quantities(&self) -> impl Iterator<Item = (&'static str, u64)> + '_ {
-        let unheard = WaitReason::ALL
+        let lost_contact = WaitReason::ALL
             .iter()
-            .map(|reason| (reason.quantity(), self.unheard(*reason)));
+            .map(|reason| (reason.quantity(), self.lost_contact(*reason)));
         let starts = StartWait::ALL
             .iter()
             .map(|reason| (reason.quantity(), self.starts(*reason)));
-        unheard.chain(starts)
+        lost_contact.chain(starts)
     }
 }
--- a/crates/bankvalve_queue/src/core/waiting.rs
+++ b/crates/bankvalve_queue/src/core/waiting_steps.rs
@@ -126,15 +126,15 @@
 
 impl EntryCore {
     /// Looks again at the steps of jobs to which something happened.
-    pub(super) fn refresh_touched(&mut self) {
+    pub(super) fn refresh_dirty_jobs(&mut self) {
         let Some(lead) = self.lead.as_deref_mut() else {
             return;
         };
-        let touched = std::mem::take(&mut lead.touched);
-        if !touched.is_empty() {
-            lead.stale = true;
+        let dirty_jobs = std::mem::take(&mut lead.dirty_jobs);
+        if !dirty_jobs.is_empty() {
+            lead.placement_due = true;
         }
-        for job in touched {
+        for job in dirty_jobs {
             self.refresh_job(job);
         }
     }
--- a/crates/bankvalve_queue/src/core/seat_list.rs
+++ b/crates/bankvalve_queue/src/core/worker_entries.rs
@@ -4,13 +4,13 @@
 use std::time::Duration;
 
 use super::live_run::{LiveRun, RunPhase};
-use super::seat::Seat;
+use super::worker_state::WorkerState;
 use super::EntryCore;
 use crate::customer::CustomerName;
 use crate::ids::{RunId, TaskKey, WorkerId};
 use crate::job::StepSpec;
 use crate::ledger::{JobOutcome, TaskPhase};
-use crate::store::WorkerNews;
+use crate::store::WorkerRow;
 use crate::worker::WorkerEntry;
 
 /// Signs of an id that are logged of an entry which no worker of ours wrote.
@@ -30,7 +30,7 @@
 
 /// A reading of all workers' entries, which comes in pages.
 #[derive(Debug, Default)]
-pub(super) struct WorkerReading {
+pub(super) struct EntryScan {
     /// Number of the reading, so that an answer to an earlier one is told apart.
     number: u64,
     /// Version of the table as of the first page. What changes behind a page while the next ones are
@@ -40,7 +40,7 @@
     named: BTreeSet<WorkerId>,
 }
 
-impl WorkerReading {
+impl EntryScan {
     /// Begins with the first page.
     pub(super) fn begin(&mut self) {
         *self = Self {
@@ -54,22 +54,26 @@
     }
 
     /// Notes what a page names, as of a version of the table.
-    pub(super) fn note_page(&mut self, entries: &[(WorkerId, WorkerNews)], version: u64) {
+    pub(super) fn note_page(&mut self, entries: &[(WorkerId, WorkerRow)], version: u64) {
         self.version.get_or_insert(version);
         self.named.extend(entries.iter().map(|(id, _)| id.clone()));
     }
 }
 
 impl EntryCore {
-    pub(super) fn take_worker_entries(&mut self, entries: Vec<(WorkerId, WorkerNews)>, full: bool) {
+    pub(super) fn handle_worker_entries(
+        &mut self,
+        entries: Vec<(WorkerId, WorkerRow)>,
+        full: bool,
+    ) {
         for (id, news) in entries {
             if let Some(lead) = self.lead.as_deref_mut() {
-                lead.stale = true;
+                lead.placement_due = true;
             }
             match news {
-                WorkerNews::Entry(entry) => self.take_worker_entry(&id, entry, full),
-                WorkerNews::Gone => self.unlist_worker(&id),
-                WorkerNews::Unusable(why) => self.pass_entry_over(&id, why),
+                WorkerRow::Entry(entry) => self.take_worker_entry(&id, entry, full),
+                WorkerRow::Gone => self.unlist_worker(&id),
+                WorkerRow::Unusable(why) => self.pass_entry_over(&id, why),
             }
         }
     }
@@ -79,33 +83,33 @@
         let Some(lead) = self.lead.as_deref_mut() else {
             return;
         };
-        let slowness = self.measures.0.get(id);
-        let Some(seat) = lead.seats.get_mut(id) else {
-            let mut seat = Seat::new(entry, true, now);
-            seat.named = self.services.contains(&seat.entry.service);
-            seat.hold_stop = self.stopped_holds.state_of(id);
+        let slowness = self.measurements.0.get(id);
+        let Some(state) = lead.worker_states.get_mut(id) else {
+            let mut state = WorkerState::new(entry, true, now);
+            state.service_in_use = self.services.contains(&state.entry.service);
+            state.lease_stop = self.stopped_leases.state_of(id);
             if let Some(slowness) = slowness {
-                seat.begin_slowness(*slowness);
+                state.start_slowness(*slowness);
             }
-            lead.seats.insert(id.clone(), seat);
+            lead.worker_states.insert(id.clone(), state);
             if !full {
                 self.log("workers", "listed", id.to_string(), String::new());
             }
             return;
         };
         if let Some(slowness) = slowness.filter(|_| full) {
-            seat.begin_slowness(*slowness);
+            state.start_slowness(*slowness);
         }
-        let notice = entry.leaving && !seat.entry.leaving;
-        let shrunk = !seat.entry.room.fits(&entry.room);
-        let rooms = (seat.entry.room, entry.room);
-        seat.named = self.services.contains(&entry.service);
-        seat.entry = entry;
-        seat.listed = true;
-        seat.usable = true;
-        let other_process = seat.proved && !seat.has_own_entry();
+        let notice = entry.leaving && !state.entry.leaving;
+        let shrunk = !state.entry.room.fits(&entry.room);
+        let rooms = (state.entry.room, entry.room);
+        state.service_in_use = self.services.contains(&entry.service);
+        state.entry = entry;
+        state.listed = true;
+        state.entry_readable = true;
+        let other_process = state.token_accepted && !state.entry_is_current();
         if other_process {
-            seat.next_hold = now;
+            state.next_poll = now;
         }
         if notice {
             self.begin_leaving(id);
@@ -115,12 +119,12 @@
             self.log("workers", "shrunk", id.to_string(), detail);
         }
         if other_process {
-            self.look_if_due(id);
+            self.poll_if_due(id);
         }
     }
 
     /// Notes services whose workers are ours to call.
-    pub(super) fn name_services(&mut self, services: impl IntoIterator<Item = String>) {
+    pub(super) fn note_services_in_use(&mut self, services: impl IntoIterator<Item = String>) {
         let known = self.services.len();
         self.services.extend(services);
         if self.services.len() == known {
@@ -128,8 +132,8 @@
         }
         let services = &self.services;
         if let Some(lead) = self.lead.as_deref_mut() {
-            for seat in lead.seats.values_mut() {
-                seat.named = services.contains(&seat.entry.service);
+            for state in lead.worker_states.values_mut() {
+                state.service_in_use = services.contains(&state.entry.service);
             }
         }
     }
@@ -137,9 +141,9 @@
     fn unlist_worker(&mut self, id: &WorkerId) {
         let now = self.now;
         let lead = self.lead.as_deref_mut();
-        if let Some(seat) = lead.and_then(|lead| lead.seats.get_mut(id)) {
-            seat.listed = false;
-            seat.unlisted_at = Some(now);
+        if let Some(state) = lead.and_then(|lead| lead.worker_states.get_mut(id)) {
+            state.listed = false;
+            state.unlisted_at = Some(now);
         }
         self.log("workers", "unlisted", id.to_string(), String::new());
     }
@@ -148,8 +152,8 @@
     /// gets no new work until it can be read again, and keeps what it runs.
     fn pass_entry_over(&mut self, id: &WorkerId, why: &'static str) {
         let lead = self.lead.as_deref_mut();
-        if let Some(seat) = lead.and_then(|lead| lead.seats.get_mut(id)) {
-            seat.usable = false;
+        if let Some(state) = lead.and_then(|lead| lead.worker_states.get_mut(id)) {
+            state.entry_readable = false;
         }
         self.counters.count("worker_entries", "unusable");
         self.log_often("workers", "unusable", || {
@@ -163,19 +167,19 @@
     /// A worker that is known and that no page has named has no entry any more: it went while the table
     /// had forgotten its history, so that no change tells of it. Unlisted, it gets nothing new and keeps
     /// what it runs, as it is looked at on; if it lives, its entry comes back with the next changes.
-    pub(super) fn end_worker_list(&mut self) -> Option<u64> {
-        let reading = &mut self.worker_reading;
+    pub(super) fn finish_entry_scan(&mut self) -> Option<u64> {
+        let reading = &mut self.entry_scan;
         let version = reading.version.take();
         let named = std::mem::take(&mut reading.named);
         let Some(lead) = self.lead.as_deref_mut() else {
             return version;
         };
         lead.workers_known = true;
-        lead.stale = true;
+        lead.placement_due = true;
         let unnamed = lead
-            .seats
+            .worker_states
             .iter()
-            .filter(|(id, seat)| seat.listed && !named.contains(*id));
+            .filter(|(id, state)| state.listed && !named.contains(*id));
         let unnamed: Vec<WorkerId> = unnamed.map(|(id, _)| id.clone()).collect();
         for id in unnamed {
             self.unlist_worker(&id);
@@ -184,7 +188,7 @@
     }
 
     /// Fills the seats with the runs that the ledger knows, after a takeover.
-    pub(super) fn adopt_book(&mut self) {
+    pub(super) fn adopt_runs(&mut self) {
         let now = self.now;
         let mut placed: Vec<AdoptedRun> = Vec::new();
         let mut open = Vec::new();
@@ -223,7 +227,7 @@
             .jobs()
             .filter(|job| job.outcome == JobOutcome::Open);
         let services: Vec<String> = jobs.map(|job| job.terms.service.clone()).collect();
-        self.name_services(services);
+        self.note_services_in_use(services);
         let detail = format!(
             "{} jobs open, {} runs, batch {}",
             open.len(),
@@ -234,24 +238,24 @@
         let Some(lead) = self.lead.as_deref_mut() else {
             return;
         };
-        lead.touched.extend(open.iter().copied());
+        lead.dirty_jobs.extend(open.iter().copied());
         lead.begun.extend(begun);
         for adopted in placed {
-            lead.touched.insert(adopted.task.step.job);
-            let hold_stop = self.stopped_holds.state_of(&adopted.worker);
-            let seat = lead.seats.get_or_insert_with(adopted.worker, || {
-                Seat::new(WorkerEntry::default(), false, now)
+            lead.dirty_jobs.insert(adopted.task.step.job);
+            let lease_stop = self.stopped_leases.state_of(&adopted.worker);
+            let state = lead.worker_states.get_or_insert_with(adopted.worker, || {
+                WorkerState::new(WorkerEntry::default(), false, now)
             });
-            seat.hold_stop = hold_stop;
+            state.lease_stop = lease_stop;
             let mut live = LiveRun::new(adopted.run, &adopted.spec, RunPhase::Adopted, now);
             live.set_priority(adopted.priority);
             live.customer = adopted.customer;
-            seat.add_run(adopted.task, live);
+            state.add_run(adopted.task, live);
         }
         for job in open {
             self.schedule_times(job);
         }
-        self.resend_asks();
+        self.resend_requests();
     }
 
     /// Moves tasks away that would not end before their worker leaves.
@@ -260,10 +264,10 @@
         let Some(lead) = self.lead.as_deref() else {
             return;
         };
-        let Some(seat) = lead.seats.get(id) else {
+        let Some(state) = lead.worker_states.get(id) else {
             return;
         };
-        let left = Duration::from_millis(seat.entry.remaining_ms.unwrap_or(u64::MAX / 2_000));
+        let left = Duration::from_millis(state.entry.remaining_ms.unwrap_or(u64::MAX / 2_000));
         let too_long = |live: &LiveRun| match live.phase {
             RunPhase::Running { since } => {
                 let ran = now.saturating_sub(since);
@@ -275,7 +279,7 @@
             }
             _ => false,
         };
-        let moved: Vec<TaskKey> = seat
+        let moved: Vec<TaskKey> = state
             .runs
             .iter()
             .filter(|(_, live)| too_long(live))
@@ -283,7 +287,7 @@
             .collect();
         let detail = format!(
             "{left:?} left, {} runs, {} moved",
-            seat.runs.len(),
+            state.runs.len(),
             moved.len()
         );
         self.log("workers", "leaving", id.to_string(), detail);
--- a/crates/bankvalve_queue/src/core/reports.rs
+++ b/crates/bankvalve_queue/src/core/worker_reports.rs
@@ -4,7 +4,7 @@
 
 use super::commit::Effect;
 use super::live_run::{LiveRun, RunPhase};
-use super::seat::LifeEnd;
+use super::worker_state::ProcessEnd;
 use super::EntryCore;
 use crate::guard::SiteGuard;
 use crate::ids::{CoreTime, RunId, TaskKey, WallMillis, WorkerId};
@@ -38,7 +38,7 @@
 }
 
 impl EntryCore {
-    pub(super) fn take_report(&mut self, id: &WorkerId, sent_at: CoreTime, report: &HoldReport) {
+    pub(super) fn handle_report(&mut self, id: &WorkerId, sent_at: CoreTime, report: &HoldReport) {
         for end in &report.ended {
             self.take_end(id, end);
         }
@@ -50,20 +50,20 @@
 
     fn take_end(&mut self, id: &WorkerId, end: &EndReport) {
         let now = self.now;
-        let kept_first = self.keeps(SiteGuard::KeptEnds);
+        let kept_first = self.enforces(SiteGuard::KeptEnds);
         let Some(lead) = self.lead.as_deref_mut() else {
             return;
         };
-        let Some(incarnation) = lead.seats.incarnation_of(id) else {
+        let Some(incarnation) = lead.worker_states.incarnation_of(id) else {
             return;
         };
-        let Some(seat) = lead.seats.get_mut(id) else {
+        let Some(state) = lead.worker_states.get_mut(id) else {
             return;
         };
-        if end.number <= seat.seen {
-            let held = seat.runs.get(&end.task);
+        if end.number <= state.last_end_seen {
+            let held = state.runs.get(&end.task);
             if held.is_some_and(|live| live.run == end.run) {
-                let seen = seat.seen;
+                let seen = state.last_end_seen;
                 self.counters.count("ends", "passed_over");
                 self.log_often("runs", "end_passed_over", || {
                     let (how, number) = (end.how.as_str(), end.number);
@@ -76,13 +76,13 @@
             }
             return;
         }
-        seat.seen = end.number;
+        state.last_end_seen = end.number;
         if !kept_first {
-            seat.kept = end.number;
+            state.last_end_committed = end.number;
         }
-        lead.stale = true;
+        lead.placement_due = true;
         lead.begun.insert(end.task.step.job);
-        let held = seat
+        let held = state
             .runs
             .get(&end.task)
             .is_some_and(|live| live.run == end.run);
@@ -90,7 +90,7 @@
         let mut guess = Duration::ZERO;
         let mut served = false;
         if held {
-            if let Some(live) = seat.remove_run(&end.task) {
+            if let Some(live) = state.remove_run(&end.task) {
                 ran = now.saturating_sub(live.began);
                 served = live.lasting && ran > SERVED_LIFE;
                 if live.measured && end.saved.is_empty() {
@@ -105,16 +105,16 @@
                 .max(LEAST_RATIO)
                 .ln();
             let error = lead
-                .guess_error
+                .estimate_error
                 .entry(queue.unwrap_or_default())
                 .or_insert(ratio);
             *error += GUESS_WEIGHT * (ratio - *error);
-            seat.note_slowness(ratio - *error);
+            state.note_slowness(ratio - *error);
         }
         let may_rest = self.settings.without != Some(PolicySwitch::FailureRest);
         let rests = match end.how {
-            EndKind::Done => seat.note_result(job, true, now),
-            EndKind::Failed if may_rest && !served => seat.note_result(job, false, now),
+            EndKind::Done => state.note_result(job, true, now),
+            EndKind::Failed if may_rest && !served => state.note_result(job, false, now),
             _ => false,
         };
         if rests {
@@ -132,7 +132,7 @@
             (end.task.to_string(), detail)
         });
         self.counters.count("ends", end.how.as_str());
-        let effect = Effect::ForgetEnd(incarnation, end.number);
+        let effect = Effect::AcknowledgeEnd(incarnation, end.number);
         if self.is_current(end.task, end.run) {
             self.propose_end(end.task, end.run, end.how, end.saved.clone(), effect);
         } else if end.how == EndKind::Done && self.is_late_done(end.task, end.run) {
@@ -163,9 +163,9 @@
         };
         let spec = job.spec.steps.get(usize::from(task.step.step));
         let ends = spec.is_some_and(|spec| !spec.lasting);
-        let late = |step: &StepRecord| step.may_be_late(task.index as usize, run);
+        let late = |step: &StepRecord| step.may_report_late(task.index as usize, run);
         let open = job.outcome == JobOutcome::Open;
-        open && ends && job.step(task.step).is_some_and(late) && self.keeps(SiteGuard::LateDone)
+        open && ends && job.step(task.step).is_some_and(late) && self.enforces(SiteGuard::LateDone)
     }
 
     /// Takes back what was placed since for a task that turns out to be done, or for all members
@@ -193,8 +193,8 @@
             };
             let live = lead.live_run(&worker, &key);
             if live.is_some_and(|live| live.phase == RunPhase::Proposed) {
-                if let Some(seat) = lead.seats.get_mut(&worker) {
-                    seat.remove_run(&key);
+                if let Some(state) = lead.worker_states.get_mut(&worker) {
+                    state.remove_run(&key);
                 }
             } else {
                 self.begin_stop_run(&worker, key);
@@ -225,7 +225,7 @@
     ) {
         let now = self.now;
         if let Some(lead) = self.lead.as_deref_mut().filter(|_| how != EndKind::Done) {
-            lead.wait_sight.note_end(task, run, now);
+            lead.wait_tracker.note_end(task, run, now);
         }
         let event = LedgerEvent::Ended {
             task,
@@ -246,14 +246,14 @@
             let Some(lead) = self.lead.as_deref_mut() else {
                 return;
             };
-            let Some(seat) = lead.seats.get_mut(id) else {
+            let Some(state) = lead.worker_states.get_mut(id) else {
                 return;
             };
-            match seat.runs.get_mut(&report.task) {
+            match state.runs.get_mut(&report.task) {
                 Some(live) if live.run == report.run => {
                     if matches!(live.phase, RunPhase::Adopted | RunPhase::Ordered) {
                         live.phase = RunPhase::Running { since: now };
-                        lead.touched.insert(report.task.step.job);
+                        lead.dirty_jobs.insert(report.task.step.job);
                         lead.begun.insert(report.task.step.job);
                     }
                     live.listed_at = Some(now);
@@ -266,7 +266,7 @@
                     let phase = RunPhase::Stopping { confirmed: None };
                     let mut live = LiveRun::new(report.run, &spec, phase, now);
                     live.customer = customer;
-                    seat.add_run(report.task, live);
+                    state.add_run(report.task, live);
                     let detail = format!("run {} on {id}", report.run);
                     self.log("runs", "unknown", report.task.to_string(), detail);
                 }
@@ -283,11 +283,11 @@
 
     /// Runs that are in neither list never began, or are gone.
     fn settle_missing(&mut self, id: &WorkerId, sent_at: CoreTime, report: &HoldReport) {
-        let newer = self.keeps(SiteGuard::NewerList);
+        let newer = self.enforces(SiteGuard::NewerList);
         let Some(lead) = self.lead.as_deref_mut() else {
             return;
         };
-        let Some(seat) = lead.seats.get_mut(id) else {
+        let Some(state) = lead.worker_states.get_mut(id) else {
             return;
         };
         let listed = |task: &TaskKey, run: u64| {
@@ -297,7 +297,7 @@
                 .any(|entry| entry.task == *task && entry.run == run)
         };
         let mut missing = Vec::new();
-        for (task, live) in &seat.runs {
+        for (task, live) in &state.runs {
             let settled = match live.phase {
                 RunPhase::Adopted => true,
                 RunPhase::Stopping {
@@ -335,21 +335,21 @@
         let Some(lead) = self.lead.as_deref_mut() else {
             return;
         };
-        lead.stale = true;
-        let unheard = lead.wait_sight.take_unheard(&task, run, now);
-        if let Some(seat) = lead.seats.get_mut(id) {
-            if seat.runs.get(&task).is_some_and(|live| live.run == run) {
-                seat.remove_run(&task);
+        lead.placement_due = true;
+        let lost_contact = lead.wait_tracker.take_lost_contact_text(&task, run, now);
+        if let Some(state) = lead.worker_states.get_mut(id) {
+            if state.runs.get(&task).is_some_and(|live| live.run == run) {
+                state.remove_run(&task);
             }
         }
         self.log_often("runs", "end", || {
             let how = how.as_str();
-            let detail = format!("run {run} on {id}: {how}, {why}{unheard}");
+            let detail = format!("run {run} on {id}: {how}, {why}{lost_contact}");
             (task.to_string(), detail)
         });
         self.counters.count("ends", how.as_str());
         if self.is_current(task, run) {
-            let at = self.last_word_of(id, how);
+            let at = self.last_contact_with_run(id, how);
             self.keep_end(task, run, how, saved, at, Effect::None);
         }
     }
@@ -360,7 +360,7 @@
         let Some(count) = job.and_then(|job| job.task(task)?.crash_count()) else {
             return;
         };
-        let next = match (count.is_spent(), count.is_suspect()) {
+        let next = match (count.is_conclusive(), count.is_suspect()) {
             (true, _) => "given up",
             (_, true) => "suspect",
             _ => "starts again",
@@ -377,12 +377,12 @@
     }
 
     /// Ends all runs of a worker that surely runs nothing any more.
-    pub(super) fn give_up_seat(&mut self, id: &WorkerId, end: LifeEnd) {
+    pub(super) fn declare_worker_lost(&mut self, id: &WorkerId, end: ProcessEnd) {
         let now = self.now;
         let Some(lead) = self.lead.as_deref() else {
             return;
         };
-        let Some(seat) = lead.seats.get(id) else {
+        let Some(state) = lead.worker_states.get(id) else {
             return;
         };
         let Some(loss) = self.loss_of(id, end) else {
@@ -391,13 +391,13 @@
         let lost = |(task, live): (&TaskKey, &LiveRun)| LostRun {
             task: *task,
             run: live.run,
-            how: self.end_with_worker(seat, &loss, task, live),
+            how: self.end_with_worker(state, &loss, task, live),
             saved: live.saved.clone(),
             is_news: live.crash.is_none(),
-            why: format!("{}, {}", end.as_str(), live.sight(now)),
+            why: format!("{}, {}", end.as_str(), live.summary(now)),
         };
-        let runs: Vec<LostRun> = seat.runs.iter().map(lost).collect();
-        let detail = format!("{}, {}", end.as_str(), seat.sight(now));
+        let runs: Vec<LostRun> = state.runs.iter().map(lost).collect();
+        let detail = format!("{}, {}", end.as_str(), state.summary(now));
         self.log("workers", "lost", id.to_string(), detail);
         self.counters.count("workers", "lost");
         let proof = |lost: &LostRun| matches!(lost.how, EndKind::Crashed(evidence) if evidence.weight == CrashWeight::Proof);
--- a/crates/bankvalve_queue/src/core/seat.rs
+++ b/crates/bankvalve_queue/src/core/worker_state.rs
@@ -13,7 +13,7 @@
 /// A worker that was heard so lately gets work.
 const HEARD_LATELY: Duration = Duration::from_millis(1_300);
 /// Silence from which on it is asked whether a worker's hold is over.
-pub(super) const SILENT_LONG: Duration = Duration::from_millis(1_300);
+pub(super) const UNRESPONSIVE_AFTER: Duration = Duration::from_millis(1_300);
 /// Time for the way of a look and a slow worker, beyond the wait that the look asks for.
 pub(super) const ANSWER_SLACK: Duration = Duration::from_millis(400);
 /// How much slower than ours a worker's clock may run, in percent.
@@ -35,34 +35,34 @@
 
 /// How it is known that a life of a worker is over, or all that it ran.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum LifeEnd {
+pub(super) enum ProcessEnd {
     /// Another life answers at its address.
     OtherLife,
     /// Another process answers under its id.
     Restarted,
     /// It is silent, and its hold has surely run out.
-    HoldOver,
+    LeaseExpired,
 }
 
-impl LifeEnd {
+impl ProcessEnd {
     /// Words for logs.
     pub(super) fn as_str(self) -> &'static str {
         match self {
-            LifeEnd::OtherLife => "another life answers",
-            LifeEnd::Restarted => "it has started again",
-            LifeEnd::HoldOver => "its hold is over",
+            ProcessEnd::OtherLife => "another life answers",
+            ProcessEnd::Restarted => "it has started again",
+            ProcessEnd::LeaseExpired => "its hold is over",
         }
     }
 }
 
 /// The time within which a worker was lost.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct LossSpan {
+pub(super) struct LossWindow {
     pub(super) first: CoreTime,
     pub(super) last: CoreTime,
 }
 
-impl LossSpan {
+impl LossWindow {
     /// At a known moment.
     pub(super) fn at(at: CoreTime) -> Self {
         Self {
@@ -74,7 +74,7 @@
 
 /// Whether a worker's hold may be prolonged, as the ledger has it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum HoldStop {
+pub(super) enum LeaseStop {
     /// Nothing is kept of it: it is prolonged while the worker is heard.
     None,
     /// It is kept, or about to be, that it is not prolonged.
@@ -87,7 +87,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct ListConnection {
     /// Who made it; none for the leader itself.
-    pub(super) carrier: Option<PeerAddress>,
+    pub(super) proxy: Option<PeerAddress>,
     pub(super) connection: ConnectionId,
 }
 
@@ -95,21 +95,21 @@
 #[derive(Clone, Debug)]
 pub(super) struct Reservation {
     pub(super) step: StepKey,
-    pub(super) room: TaskSize,
+    pub(super) resources: TaskSize,
     pub(super) until: CoreTime,
 }
 
 /// One process of a worker.
 #[derive(Debug)]
-pub(super) struct Seat {
+pub(super) struct WorkerState {
     /// Number of this incarnation.
     pub(super) number: u64,
     pub(super) entry: WorkerEntry,
     pub(super) listed: bool,
     /// Whether a queue or an open job names its service.
-    pub(super) named: bool,
+    pub(super) service_in_use: bool,
     /// Whether its entry could be read when it was last seen.
-    pub(super) usable: bool,
+    pub(super) entry_readable: bool,
     /// When its entry was last found to be gone.
     pub(super) unlisted_at: Option<CoreTime>,
     /// Whether its port refused the last look.
@@ -117,26 +117,26 @@
     /// When its port first refused a look since it was heard.
     pub(super) refused_at: Option<CoreTime>,
     /// Whether what is seen of its end is kept.
-    pub(super) end_kept: bool,
+    pub(super) crash_evidence_proposed: bool,
     /// Whether it was given up, and was not heard since.
-    pub(super) over: bool,
+    pub(super) declared_lost: bool,
     /// Whether it has answered under the own token.
-    pub(super) proved: bool,
+    pub(super) token_accepted: bool,
     /// When it first did: from then on it takes no order of a leader before.
-    pub(super) proved_at: CoreTime,
+    pub(super) token_accepted_at: CoreTime,
     /// When an answer came, and the worker's clock in it.
     pub(super) clock: Option<(CoreTime, u64)>,
     /// Greatest reading of its clock to which a hold was prolonged.
-    pub(super) granted_until: u64,
-    pub(super) hold_stop: HoldStop,
-    pub(super) heard_at: Option<CoreTime>,
+    pub(super) lease_until: u64,
+    pub(super) lease_stop: LeaseStop,
+    pub(super) last_contact: Option<CoreTime>,
     pub(super) known_at: CoreTime,
     /// Looks without an answer since it was heard.
     pub(super) unanswered: u32,
-    pub(super) hold_busy: bool,
+    pub(super) poll_in_flight: bool,
     /// Time for which the last look lets the worker wait.
-    pub(super) look_wait: Duration,
-    pub(super) next_hold: CoreTime,
+    pub(super) poll_wait: Duration,
+    pub(super) next_poll: CoreTime,
     pub(super) runs: BTreeMap<TaskKey, LiveRun>,
     pub(super) used: TaskSize,
     pub(super) reserved: Vec<Reservation>,
@@ -145,58 +145,58 @@
     /// Connection on which its last list came.
     pub(super) listed_on: Option<ListConnection>,
     /// Greatest number of an end that was taken.
-    pub(super) seen: u64,
+    pub(super) last_end_seen: u64,
     /// Greatest number of an end that is kept.
-    pub(super) kept: u64,
+    pub(super) last_end_committed: u64,
     /// Greatest number up to which the process has confirmed an acknowledgement of its ends.
-    pub(super) acknowledged: u64,
+    pub(super) last_end_acknowledged: u64,
     /// Logarithm of how much longer than elsewhere tasks take here.
     pub(super) slowness: f64,
     measured: u32,
     failures: u32,
     failed_job: u64,
     rests: u32,
-    pub(super) resting_until: CoreTime,
+    pub(super) backoff_until: CoreTime,
 }
 
-impl Seat {
+impl WorkerState {
     pub(super) fn new(entry: WorkerEntry, listed: bool, now: CoreTime) -> Self {
         Self {
             number: 0,
             entry,
             listed,
-            named: true,
-            usable: true,
+            service_in_use: true,
+            entry_readable: true,
             unlisted_at: None,
             refused: false,
             refused_at: None,
-            end_kept: false,
-            over: false,
-            proved: false,
-            proved_at: CoreTime::ZERO,
+            crash_evidence_proposed: false,
+            declared_lost: false,
+            token_accepted: false,
+            token_accepted_at: CoreTime::ZERO,
             clock: None,
-            granted_until: 0,
-            hold_stop: HoldStop::None,
-            heard_at: None,
+            lease_until: 0,
+            lease_stop: LeaseStop::None,
+            last_contact: None,
             known_at: now,
             unanswered: 0,
-            hold_busy: false,
-            look_wait: Duration::ZERO,
-            next_hold: now,
+            poll_in_flight: false,
+            poll_wait: Duration::ZERO,
+            next_poll: now,
             runs: BTreeMap::new(),
             used: TaskSize::default(),
             reserved: Vec::new(),
             started: None,
             listed_on: None,
-            seen: 0,
-            kept: 0,
-            acknowledged: 0,
+            last_end_seen: 0,
+            last_end_committed: 0,
+            last_end_acknowledged: 0,
             slowness: 0.0,
             measured: 0,
             failures: 0,
             failed_job: 0,
             rests: 0,
-            resting_until: CoreTime::ZERO,
+            backoff_until: CoreTime::ZERO,
         }
     }
 
@@ -205,19 +205,19 @@
     pub(super) fn restarted(before: &Self, started: Option<ProcessStart>, now: CoreTime) -> Self {
         Self {
             started,
-            named: before.named,
-            usable: before.usable,
+            service_in_use: before.service_in_use,
+            entry_readable: before.entry_readable,
             unlisted_at: before.unlisted_at,
-            hold_stop: before.hold_stop,
-            proved: true,
-            proved_at: now,
+            lease_stop: before.lease_stop,
+            token_accepted: true,
+            token_accepted_at: now,
             ..Self::new(before.entry.clone(), before.listed, now)
         }
     }
 
     /// For the log: how it stood when it was given up.
-    pub(super) fn sight(&self, now: CoreTime) -> String {
-        let silent = now.saturating_sub(self.heard_at.unwrap_or(self.known_at));
+    pub(super) fn summary(&self, now: CoreTime) -> String {
+        let silent = now.saturating_sub(self.last_contact.unwrap_or(self.known_at));
         let entry = match (self.listed, self.entry.leaving) {
             (_, true) => "leaving",
             (true, false) => "listed",
@@ -229,32 +229,34 @@
     }
 
     /// Tells whether it has answered within a time.
-    pub(super) fn is_heard(&self, now: CoreTime, within: Duration) -> bool {
-        self.heard_at
+    pub(super) fn has_contact(&self, now: CoreTime, within: Duration) -> bool {
+        self.last_contact
             .is_some_and(|at| now.saturating_sub(at) < within)
     }
 
     /// Tells whether it said that it leaves, or served on after its entry was gone: then its end is no
     /// news.
-    pub(super) fn left_as_planned(&self) -> bool {
-        let outlived = self.heard_at.zip(self.unlisted_at);
+    pub(super) fn left_as_announced(&self) -> bool {
+        let outlived = self.last_contact.zip(self.unlisted_at);
         self.entry.leaving || (!self.listed && outlived.is_some_and(|(heard, gone)| heard > gone))
     }
 
     /// Tells whether it does not answer any more, though it did.
-    pub(super) fn is_silent(&self, now: CoreTime) -> bool {
-        self.proved && !self.over && (self.refused || !self.is_heard(now, SILENT_LONG))
+    pub(super) fn is_unresponsive(&self, now: CoreTime) -> bool {
+        self.token_accepted
+            && !self.declared_lost
+            && (self.refused || !self.has_contact(now, UNRESPONSIVE_AFTER))
     }
 
     /// When it was lost, as far as is known: its port refused, which is seen at once, or else at some
     /// moment of the time for which it may be silent and well.
-    pub(super) fn lost_within(&self) -> LossSpan {
+    pub(super) fn loss_window(&self) -> LossWindow {
         if let Some(at) = self.refused_at {
-            return LossSpan::at(at);
+            return LossWindow::at(at);
         }
-        let first = self.heard_at.unwrap_or(self.known_at);
-        let last = first + SILENT_LONG;
-        LossSpan { first, last }
+        let first = self.last_contact.unwrap_or(self.known_at);
+        let last = first + UNRESPONSIVE_AFTER;
+        LossWindow { first, last }
     }
 
     /// Tells whether a run here began so lately that it may be what ends the worker.
@@ -264,7 +266,7 @@
 
     /// It is heard again: it had not ended.
     pub(super) fn forget_crashes(&mut self) {
-        if std::mem::take(&mut self.end_kept) {
+        if std::mem::take(&mut self.crash_evidence_proposed) {
             for live in self.runs.values_mut() {
                 live.crash = None;
             }
@@ -277,7 +279,7 @@
     }
 
     /// Tells whether its end is held against a task.
-    pub(super) fn is_ended_by_task(&self) -> bool {
+    pub(super) fn is_crashed_by_task(&self) -> bool {
         let proof = |evidence: &CrashEvidence| evidence.weight == CrashWeight::Proof;
         let mut runs = self.runs.values();
         runs.any(|live| live.on_trial || live.crash.as_ref().is_some_and(proof))
@@ -285,20 +287,22 @@
 
     /// Tells whether it is lost as far as is known: silent, or away since this leader began.
     pub(super) fn is_lost(&self, now: CoreTime) -> bool {
-        let away = !self.proved && !self.over && self.listed && self.unanswered > 0;
-        away || self.is_silent(now)
+        let away =
+            !self.token_accepted && !self.declared_lost && self.listed && self.unanswered > 0;
+        away || self.is_unresponsive(now)
     }
 
     /// Tells whether it answers as it should: within the time that its last look gave it. One whose
     /// port refuses is gone, whenever it was heard.
-    pub(super) fn is_lively(&self, now: CoreTime) -> bool {
-        !self.refused && self.is_heard(now, HEARD_LATELY.max(self.usual_silence()))
+    pub(super) fn is_responsive(&self, now: CoreTime) -> bool {
+        !self.refused && self.has_contact(now, HEARD_LATELY.max(self.usual_response_gap()))
     }
 
     /// Tells whether its next look is due.
-    pub(super) fn look_is_due(&self, now: CoreTime) -> bool {
-        let called = !self.entry.address.is_empty() && (self.named || !self.runs.is_empty());
-        !self.hold_busy && now >= self.next_hold && called
+    pub(super) fn poll_is_due(&self, now: CoreTime) -> bool {
+        let called =
+            !self.entry.address.is_empty() && (self.service_in_use || !self.runs.is_empty());
+        !self.poll_in_flight && now >= self.next_poll && called
     }
 
     /// Tells whether it has a run whose end is urgent.
@@ -307,27 +311,28 @@
     }
 
     /// Tells whether its entry was written by the process that answers, as far as both are told.
-    pub(super) fn has_own_entry(&self) -> bool {
+    pub(super) fn entry_is_current(&self) -> bool {
         let told = self.started.zip(self.entry.started);
         told.is_none_or(|(answers, wrote)| answers == wrote)
     }
 
     /// Tells whether ends are kept in the ledger that its process has not been told to drop.
-    pub(super) fn has_kept_ends(&self) -> bool {
-        self.kept > self.acknowledged
+    pub(super) fn has_unacknowledged_ends(&self) -> bool {
+        self.last_end_committed > self.last_end_acknowledged
     }
 
     /// The connection for an acknowledgement by a carrier, if ends wait for one.
     ///
     /// Another process would drop ends of its own that nobody has read, and a connection ends with the process
     /// that has listed on it.
-    pub(super) fn acknowledges_on(&self, carrier: Option<PeerAddress>) -> Option<ConnectionId> {
-        let listed_on = self.listed_on.filter(|on| on.carrier == carrier)?;
-        self.has_kept_ends().then_some(listed_on.connection)
+    pub(super) fn acknowledges_on(&self, proxy: Option<PeerAddress>) -> Option<ConnectionId> {
+        let listed_on = self.listed_on.filter(|on| on.proxy == proxy)?;
+        self.has_unacknowledged_ends()
+            .then_some(listed_on.connection)
     }
 
     /// Starts that have no answer yet.
-    pub(super) fn open_starts(&self) -> usize {
+    pub(super) fn starts_in_flight(&self) -> usize {
         let open = |live: &&LiveRun| live.busy && live.phase == RunPhase::Ordered;
         self.runs.values().filter(open).count()
     }
@@ -346,58 +351,58 @@
     }
 
     /// Reading of its clock at a time up to which it is to hold what runs, if its clock is known.
-    pub(super) fn hold_until(&self, until: CoreTime) -> Option<u64> {
+    pub(super) fn lease_deadline(&self, until: CoreTime) -> Option<u64> {
         let (at, reading) = self.clock?;
         Some(reading + until.saturating_sub(at).as_millis() as u64)
     }
 
     /// Tells whether its hold may be prolonged: it was heard so lately, and nothing is kept against it.
-    pub(super) fn may_prolong(&self, now: CoreTime, heard_within: Duration) -> bool {
-        let within = heard_within.max(self.usual_silence());
-        self.proved && self.is_heard(now, within) && self.hold_stop == HoldStop::None
+    pub(super) fn may_renew_lease(&self, now: CoreTime, heard_within: Duration) -> bool {
+        let within = heard_within.max(self.usual_response_gap());
+        self.token_accepted && self.has_contact(now, within) && self.lease_stop == LeaseStop::None
     }
 
     /// Silence of a worker that answers as it should: the wait of its last look, and its way.
-    pub(super) fn usual_silence(&self) -> Duration {
-        self.look_wait + ANSWER_SLACK
+    pub(super) fn usual_response_gap(&self) -> Duration {
+        self.poll_wait + ANSWER_SLACK
     }
 
     /// Time by its own clock until every hold that this leader prolonged is surely over.
-    pub(super) fn hold_left(&self, now: CoreTime) -> Duration {
+    pub(super) fn lease_left(&self, now: CoreTime) -> Duration {
         let clock = self.least_clock(now).unwrap_or_default();
-        Duration::from_millis(self.granted_until.saturating_sub(clock))
+        Duration::from_millis(self.lease_until.saturating_sub(clock))
     }
 
     /// Tells whether every hold that this leader prolonged is surely over.
-    pub(super) fn hold_is_over(&self, now: CoreTime) -> bool {
+    pub(super) fn lease_has_expired(&self, now: CoreTime) -> bool {
         self.least_clock(now)
-            .is_some_and(|clock| clock > self.granted_until)
+            .is_some_and(|clock| clock > self.lease_until)
     }
 
     pub(super) fn add_run(&mut self, task: TaskKey, run: LiveRun) {
-        self.used = self.used.plus(&run.room);
+        self.used = self.used.plus(&run.resources);
         self.runs.insert(task, run);
     }
 
     pub(super) fn remove_run(&mut self, task: &TaskKey) -> Option<LiveRun> {
         let run = self.runs.remove(task)?;
-        self.used = self.used.minus(&run.room);
+        self.used = self.used.minus(&run.resources);
         Some(run)
     }
 
     /// Counts a run's room as free while the run is still there.
-    pub(super) fn free_room(&mut self, task: &TaskKey) {
+    pub(super) fn release_resources(&mut self, task: &TaskKey) {
         if let Some(run) = self.runs.get_mut(task) {
-            self.used = self.used.minus(&run.room);
-            run.room = TaskSize::default();
+            self.used = self.used.minus(&run.resources);
+            run.resources = TaskSize::default();
         }
     }
 
     /// Lets a run that had the whole worker keep the room of its step alone.
     pub(super) fn end_trial(&mut self, task: &TaskKey, room: TaskSize) {
         if let Some(run) = self.runs.get_mut(task) {
-            self.used = self.used.minus(&run.room).plus(&room);
-            run.room = room;
+            self.used = self.used.minus(&run.resources).plus(&room);
+            run.resources = room;
             run.on_trial = false;
         }
     }
@@ -417,33 +422,37 @@
     }
 
     /// Tells whether a load must not join what runs here.
-    pub(super) fn is_disturbed_by(&self, load: RunLoad) -> bool {
-        load != RunLoad::Plain && self.runs.values().any(|live| load.disturbs(live.load))
+    pub(super) fn has_conflicting_run(&self, load: RunLoad) -> bool {
+        load != RunLoad::Plain
+            && self
+                .runs
+                .values()
+                .any(|live| load.conflicts_with(live.load))
     }
 
     /// Room that a step may use now.
-    pub(super) fn room_for(&self, step: StepKey, now: CoreTime) -> TaskSize {
-        let kept = self.kept_for_others(step, now);
+    pub(super) fn free_for(&self, step: StepKey, now: CoreTime) -> TaskSize {
+        let kept = self.reserved_for_others(step, now);
         self.entry.room.minus(&self.used).minus(&kept)
     }
 
     /// Room that is kept for other steps.
-    pub(super) fn kept_for_others(&self, step: StepKey, now: CoreTime) -> TaskSize {
+    pub(super) fn reserved_for_others(&self, step: StepKey, now: CoreTime) -> TaskSize {
         self.reserved
             .iter()
             .filter(|entry| entry.step != step && entry.until > now)
-            .fold(TaskSize::default(), |sum, entry| sum.plus(&entry.room))
+            .fold(TaskSize::default(), |sum, entry| sum.plus(&entry.resources))
     }
 
     /// Tells whether room is kept here for a step.
-    pub(super) fn keeps_room_for(&self, step: StepKey, now: CoreTime) -> bool {
+    pub(super) fn has_reservation_for(&self, step: StepKey, now: CoreTime) -> bool {
         self.reserved
             .iter()
             .any(|entry| entry.step == step && entry.until > now)
     }
 
     /// Keeps the room that is kept for a step until a later time.
-    pub(super) fn prolong_reservation(&mut self, step: StepKey, until: CoreTime, now: CoreTime) {
+    pub(super) fn extend_reservation(&mut self, step: StepKey, until: CoreTime, now: CoreTime) {
         let kept = |entry: &&mut Reservation| entry.step == step && entry.until > now;
         for entry in self.reserved.iter_mut().filter(kept) {
             entry.until = until;
@@ -456,7 +465,7 @@
     }
 
     /// Begins with what a predecessor measured.
-    pub(super) fn begin_slowness(&mut self, slowness: f64) {
+    pub(super) fn start_slowness(&mut self, slowness: f64) {
         self.slowness = slowness;
         self.measured = MEASURED_BEFORE;
     }
@@ -470,7 +479,7 @@
     }
 
     /// Whether the last run here that ended by itself failed.
-    pub(super) fn failed_last(&self) -> bool {
+    pub(super) fn last_run_failed(&self) -> bool {
         self.failures > 0
     }
 
@@ -491,7 +500,7 @@
         self.failures = FAILURES_TO_REST - 1;
         let doublings = self.rests.min(REST_DOUBLINGS);
         self.rests += 1;
-        self.resting_until = now + FIRST_REST * 2_u32.pow(doublings);
+        self.backoff_until = now + FIRST_REST * 2_u32.pow(doublings);
         true
     }
 }
--- a/crates/bankvalve_queue/src/job.rs
+++ b/crates/bankvalve_queue/src/job.rs
@@ -111,7 +111,7 @@
 
 impl StepSpec {
     /// Room that a task takes on a worker.
-    pub fn room(&self) -> TaskSize {
+    pub fn resources(&self) -> TaskSize {
         if self.fills {
             TaskSize {
                 millicores: 0,
--- a/crates/bankvalve_queue/src/ledger/crash_count.rs
+++ b/crates/bankvalve_queue/src/ledger/crash_count.rs
@@ -306,18 +306,18 @@
 
     /// Whether the task is started only where nothing else runs, if that can be had.
     pub fn is_suspect(&self) -> bool {
-        self.is_young() || self.ends.len() >= SUSPECT_CRASHES
+        self.has_early_crash() || self.ends.len() >= SUSPECT_CRASHES
     }
 
     /// Whether one of its workers ended right after it was started there.
-    pub fn is_young(&self) -> bool {
+    pub fn has_early_crash(&self) -> bool {
         let mut ends = self.ends.iter();
         ends.any(|end| end.evidence.weight > CrashWeight::Weak)
     }
 
     /// Whether the task is never started beside others that are new.
-    pub fn is_grave(&self) -> bool {
-        self.is_young() && self.ends.len() >= GRAVE_CRASHES
+    pub fn must_be_isolated(&self) -> bool {
+        self.has_early_crash() && self.ends.len() >= GRAVE_CRASHES
     }
 
     /// Shortest span of ages in which this end of a run, seen alive at one age and over at another, and
@@ -355,7 +355,7 @@
     }
 
     /// Whether the task is given up.
-    pub fn is_spent(&self) -> bool {
+    pub fn is_conclusive(&self) -> bool {
         let proofs = self.proofs().count();
         let proven = proofs >= LEAST_PROOFS && self.chance_ppm() <= CHANCE_LIMIT_PPM;
         let young =
