--- a/crates/bankvalve_queue/src/ledger/job_book.rs
+++ b/crates/bankvalve_queue/src/ledger/job_book.rs
@@ -105,7 +105,7 @@
             })
             .find_map(|(key, task)| {
                 let count = task.crash_count()?;
-                count.is_spent().then_some((key, count))
+                count.is_conclusive().then_some((key, count))
             })
     }
 
@@ -193,7 +193,7 @@
         let current =
             matches!(&step.tasks[index].phase, TaskPhase::Placed { run: now, .. } if *now == run);
         // It was given up meanwhile, as its worker was silent; the worker's word counts.
-        let late = how == EndKind::Done && step.may_be_late(index, run) && !lasting;
+        let late = how == EndKind::Done && step.may_report_late(index, run) && !lasting;
         if !current && !late {
             return;
         }
@@ -267,7 +267,7 @@
         let time = self.times.get(&task.step.time);
         let record = time.and_then(|time| time.steps[step].tasks.get(task.index as usize));
         let count = record.and_then(TaskRecord::crash_count);
-        if count.is_some_and(CrashCount::is_spent) && self.outcome == JobOutcome::Open {
+        if count.is_some_and(CrashCount::is_conclusive) && self.outcome == JobOutcome::Open {
             self.outcome = JobOutcome::Failed;
         }
     }
--- a/crates/bankvalve_queue/src/ledger/step_record.rs
+++ b/crates/bankvalve_queue/src/ledger/step_record.rs
@@ -101,7 +101,7 @@
     ///
     /// That no start of the run is known speaks against this book, not against the worker's word:
     /// passed over, the end would be forgotten and its task done twice.
-    pub(crate) fn may_be_late(&self, index: usize, run: RunId) -> bool {
+    pub(crate) fn may_report_late(&self, index: usize, run: RunId) -> bool {
         match self.tasks[index].phase {
             TaskPhase::Waiting => true,
             TaskPhase::Placed { run: now, .. } => run != now,
--- a/crates/bankvalve_queue/src/lib.rs
+++ b/crates/bankvalve_queue/src/lib.rs
@@ -40,17 +40,17 @@
     LedgerBatch, LedgerEvent, StepRecord, TaskPhase, TaskRecord, TimeRecord,
 };
 pub use peer::{
-    peer_time, CarriedCall, CarriedOrder, HeartbeatEcho, HeartbeatNews, PeerAddress, PeerBatch,
-    PeerMessage, PeerPatience, KEPT_CONNECTIONS, PEER_FLIGHTS,
+    peer_batch_timeout, BatchTimeout, HeartbeatBody, HeartbeatEcho, PeerAddress, PeerBatch,
+    PeerMessage, ProxiedCall, ProxiedOrder, PEER_BATCHES_IN_FLIGHT, POOLED_CONNECTIONS,
 };
 pub use policy::PolicySwitch;
 pub use port::{PlatformPort, RequestFault, WireAnswer, WireCall, WireReply, WireRequest};
 pub use queue_table::{AdviceRule, QueueRule, QueueTable};
 pub use store::{
     OperatorNews, RowChange, RowCondition, RowKey, RowWrite, StoreOutcome, StoreRequest, StoredRow,
-    WorkerNews,
+    WorkerRow,
 };
 pub use worker::{
-    AdviceAnswer, AdviceAsk, EndReport, HoldReport, ProcessStart, RunReport, StartOrder,
+    AdviceAnswer, AdviceRequest, EndReport, HoldReport, ProcessStart, RunReport, StartOrder,
     StartRefusal, WorkerAnswer, WorkerCall, WorkerEntry,
 };
--- a/crates/bankvalve_queue/src/peer.rs
+++ b/crates/bankvalve_queue/src/peer.rs
@@ -8,15 +8,15 @@
 use crate::caller::{CallerAnswer, CallerRequest};
 use crate::customer::CallerIdentity;
 use crate::ids::{ConnectionId, FenceToken, RunId, TaskKey, Ticket, WorkerId};
-use crate::worker::{AdviceAnswer, AdviceAsk, WorkerAnswer, WorkerCall};
+use crate::worker::{AdviceAnswer, AdviceRequest, WorkerAnswer, WorkerCall};
 
 /// Address at which a peer listens for peers.
 pub type PeerAddress = SocketAddr;
 
 /// Connections that an instance keeps open to each peer, worker and service.
-pub const KEPT_CONNECTIONS: usize = 6;
+pub const POOLED_CONNECTIONS: usize = 6;
 /// Batches on their way to one peer at most; more messages wait and travel together.
-pub const PEER_FLIGHTS: usize = 3;
+pub const PEER_BATCHES_IN_FLIGHT: usize = 3;
 /// Longest wait for a peer to take a small batch: usual are 2 to 5 ms, and an instance that has
 /// spent its share of a core stands still for up to 100.
 const PEER_TIME: Duration = Duration::from_millis(400);
@@ -31,14 +31,14 @@
 /// ```
 /// assert!(bankvalve_queue::peer_time(1_000_000) >= bankvalve_queue::peer_time(100));
 /// ```
-pub fn peer_time(bytes: usize) -> Duration {
+pub fn peer_batch_timeout(bytes: usize) -> Duration {
     PEER_TIME + Duration::from_millis((bytes / LINK_BYTES_PER_MS) as u64)
 }
 
-/// Longest time that batches may take beyond [`peer_time`] where the own link is behind: with it a
+/// Longest time that batches may take beyond [`peer_batch_timeout`] where the own link is behind: with it a
 /// batch has 1.2 s, and one that is truly lost is noticed within that.
 const PATIENCE_MOST: Duration = Duration::from_millis(800);
-/// Times that a batch takes lately for which it is waited for beyond [`peer_time`].
+/// Times that a batch takes lately for which it is waited for beyond [`peer_batch_timeout`].
 const PATIENCE_FACTOR: u32 = 3;
 /// Least time that is reckoned for a batch once the own link is seen to be behind.
 const PATIENCE_STEP: Duration = Duration::from_millis(100);
@@ -59,16 +59,16 @@
 /// assert!(patience.time(100) > usual);
 /// ```
 #[derive(Clone, Copy, Debug, Default)]
-pub struct PeerPatience {
+pub struct BatchTimeout {
     usual: Duration,
     /// A peer that missed a batch since one was taken.
     missed: Option<PeerAddress>,
 }
 
-impl PeerPatience {
+impl BatchTimeout {
     /// Longest wait for a peer to take a batch of so many bytes now.
     pub fn time(&self, bytes: usize) -> Duration {
-        peer_time(bytes) + (self.usual * PATIENCE_FACTOR).min(PATIENCE_MOST)
+        peer_batch_timeout(bytes) + (self.usual * PATIENCE_FACTOR).min(PATIENCE_MOST)
     }
 
     /// A batch was taken after a time.
@@ -99,7 +99,7 @@
 
 /// What a heartbeat tells.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct HeartbeatNews {
+pub struct HeartbeatBody {
     /// Start of the sender's life, milliseconds since 1970.
     pub life: u64,
     /// Processor that the sender has, in thousandths of a core.
@@ -142,7 +142,7 @@
 
 /// A call to a worker that a peer carries for the leader.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct CarriedCall {
+pub struct ProxiedCall {
     /// Life of the worker that is meant.
     pub worker: WorkerId,
     /// Where it listens.
@@ -150,14 +150,14 @@
     /// Token of the leader.
     pub token: FenceToken,
     /// What is told to the worker.
-    pub order: CarriedOrder,
+    pub order: ProxiedOrder,
     /// Longest time to wait for the worker's answer, in milliseconds.
     pub time_ms: u64,
 }
 
 /// What a carried call tells a worker; the job that a start is for is in the carrier's book.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum CarriedOrder {
+pub enum ProxiedOrder {
     /// Starts a run.
     Start {
         /// The task.
@@ -191,18 +191,18 @@
     },
 }
 
-impl CarriedOrder {
+impl ProxiedOrder {
     /// What is carried of a call; none for one that is not carried.
     pub fn of(call: &WorkerCall) -> Option<Self> {
         match call {
-            WorkerCall::Start(order) => Some(CarriedOrder::Start {
+            WorkerCall::Start(order) => Some(ProxiedOrder::Start {
                 task: order.task,
                 run: order.run,
                 saved: order.saved.clone(),
                 permit: order.permit.clone(),
                 until_ms: order.until_ms,
             }),
-            WorkerCall::Stop { task, run } => Some(CarriedOrder::Stop {
+            WorkerCall::Stop { task, run } => Some(ProxiedOrder::Stop {
                 task: *task,
                 run: *run,
             }),
@@ -211,7 +211,7 @@
                 kept,
                 connection,
                 wait_ms,
-            } => Some(CarriedOrder::Hold {
+            } => Some(ProxiedOrder::Hold {
                 until_ms: *until_ms,
                 kept: *kept,
                 connection: *connection,
@@ -226,7 +226,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum PeerMessage {
     /// The sender is alive.
-    Heartbeat(HeartbeatNews),
+    Heartbeat(HeartbeatBody),
     /// A caller's request, to the leader.
     Ask {
         /// Number of the question.
@@ -262,7 +262,7 @@
         /// Number of the question.
         ticket: Ticket,
         /// The question.
-        ask: AdviceAsk,
+        ask: AdviceRequest,
     },
     /// Its answer.
     Advised {
@@ -285,7 +285,7 @@
         /// Number of the call.
         ticket: Ticket,
         /// The call.
-        call: CarriedCall,
+        call: ProxiedCall,
     },
     /// Its answer.
     Carried {
--- a/crates/bankvalve_queue/src/port.rs
+++ b/crates/bankvalve_queue/src/port.rs
@@ -4,7 +4,7 @@
 use crate::ids::{FenceToken, WorkerId};
 use crate::queue_table::QueueTable;
 use crate::store::{StoreOutcome, StoreRequest};
-use crate::worker::{AdviceAnswer, AdviceAsk, WorkerAnswer, WorkerCall};
+use crate::worker::{AdviceAnswer, AdviceRequest, WorkerAnswer, WorkerCall};
 
 /// An HTTP call as it goes out.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
@@ -112,7 +112,7 @@
     /// Turns its reply into an answer.
     pub worker_answer: fn(&WorkerCall, &WireReply) -> WorkerAnswer,
     /// Turns a question to the policy service into a call.
-    pub advice_call: fn(&AdviceAsk) -> WireCall,
+    pub advice_call: fn(&AdviceRequest) -> WireCall,
     /// Turns its reply into an answer.
     pub advice_answer: fn(&WireReply) -> AdviceAnswer,
     /// Reads a caller's request, or says what is wrong with it.
--- a/crates/bankvalve_queue/src/store.rs
+++ b/crates/bankvalve_queue/src/store.rs
@@ -146,7 +146,7 @@
 
 /// What a row among the workers' entries tells.
 #[derive(Clone, Debug, PartialEq)]
-pub enum WorkerNews {
+pub enum WorkerRow {
     /// The worker's own account of itself.
     Entry(WorkerEntry),
     /// The entry went.
@@ -194,7 +194,7 @@
     /// Workers' entries.
     Workers {
         /// The entries.
-        entries: Vec<(WorkerId, WorkerNews)>,
+        entries: Vec<(WorkerId, WorkerRow)>,
         /// Whether there are more, from the last id on.
         more: bool,
         /// Version up to which they are whole.
--- a/crates/bankvalve_queue/src/worker.rs
+++ b/crates/bankvalve_queue/src/worker.rs
@@ -198,7 +198,7 @@
 
 /// A question to the policy service.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct AdviceAsk {
+pub struct AdviceRequest {
     /// The step.
     pub step: StepKey,
     /// Workers asked about.
--- a/crates/bankvalve_queue/tests/asks.rs
+++ b/crates/bankvalve_queue/tests/asks.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use bankvalve_queue::{
-    CallerAnswer, CallerRequest, CoreAction, CoreEvent, EntryCore, EntrySettings, HeartbeatNews,
+    CallerAnswer, CallerRequest, CoreAction, CoreEvent, EntryCore, EntrySettings, HeartbeatBody,
     JobSpec, PeerAddress, PeerMessage, ResolvedRequest, Ticket,
 };
 
@@ -30,13 +30,13 @@
 }
 
 fn heartbeat(loading: bool) -> CoreEvent {
-    from_leader(PeerMessage::Heartbeat(HeartbeatNews {
+    from_leader(PeerMessage::Heartbeat(HeartbeatBody {
         life: 9,
         epoch: 4,
         leader: Some(address(2)),
         leading: true,
         loading,
-        ..HeartbeatNews::default()
+        ..HeartbeatBody::default()
     }))
 }
 
--- a/crates/bankvalve_queue/tests/config.rs
+++ b/crates/bankvalve_queue/tests/config.rs
@@ -5,7 +5,7 @@
 
 use bankvalve_queue::{
     CallerAnswer, CallerIdentity, CallerRequest, CoreAction, CoreEvent, DenialReason, EntryCore,
-    EntrySettings, HeartbeatNews, KeyDigest, OperatorNews, PeerAddress, PeerMessage, QueueTable,
+    EntrySettings, HeartbeatBody, KeyDigest, OperatorNews, PeerAddress, PeerMessage, QueueTable,
     RefusalReason, ResolvedRequest, StoreOutcome, StoreRequest, Ticket,
 };
 
@@ -60,10 +60,10 @@
 
     /// A peer tells of a version.
     fn announce(&mut self, table_version: u64) {
-        let news = HeartbeatNews {
+        let news = HeartbeatBody {
             life: 9,
             table_version,
-            ..HeartbeatNews::default()
+            ..HeartbeatBody::default()
         };
         self.step(CoreEvent::Peer {
             from: PeerAddress::from(([10, 0, 0, 2], 7_300)),
@@ -92,11 +92,11 @@
 
     /// A peer has the same version and knew so long ago that it is the newest.
     fn hear_of_newest(&mut self, table_version: u64, table_age_ms: u64) {
-        let news = HeartbeatNews {
+        let news = HeartbeatBody {
             life: 9,
             table_version,
             table_age_ms: Some(table_age_ms),
-            ..HeartbeatNews::default()
+            ..HeartbeatBody::default()
         };
         self.step(CoreEvent::Peer {
             from: PeerAddress::from(([10, 0, 0, 2], 7_300)),
--- a/crates/bankvalve_queue/tests/crashes.rs
+++ b/crates/bankvalve_queue/tests/crashes.rs
@@ -33,7 +33,7 @@
         note(&mut count, "w-1", 1, weight);
         for run in 2..10 {
             note(&mut count, "w-1", run, CrashWeight::Proof);
-            assert!(!count.is_spent(), "{run} ends of one worker");
+            assert!(!count.is_conclusive(), "{run} ends of one worker");
         }
     }
 }
@@ -44,9 +44,9 @@
     note(&mut count, "w-1", 1, CrashWeight::Young);
     note(&mut count, "w-2", 2, CrashWeight::Proof);
     note(&mut count, "w-2", 3, CrashWeight::Proof);
-    assert!(!count.is_spent());
+    assert!(!count.is_conclusive());
     note(&mut count, "w-3", 4, CrashWeight::Proof);
-    assert!(count.is_spent());
+    assert!(count.is_conclusive());
 }
 
 /// Guards against a third start after three workers have ended, some of whose ends nobody told.
@@ -62,19 +62,25 @@
             }
             count.note_run(run, run < 4 - untold);
         }
-        assert!(!count.is_spent());
+        assert!(!count.is_conclusive());
         note(&mut count, "w-4", 4, CrashWeight::Proof);
         count.note_run(4, true);
-        assert!(!count.is_spent(), "one start after three, {untold} untold");
+        assert!(
+            !count.is_conclusive(),
+            "one start after three, {untold} untold"
+        );
         count.note_run(5, true);
-        assert!(count.is_spent(), "two starts after three, {untold} untold");
+        assert!(
+            count.is_conclusive(),
+            "two starts after three, {untold} untold"
+        );
     }
 }
 
 /// Guards against a healthy task that is given up for workers which ended at unlike ages.
 #[test]
 fn ends_at_unlike_ages_grant_a_task_more_starts() {
-    for (first_age_ms, is_spent) in [(60, true), (500, true), (7_900, false)] {
+    for (first_age_ms, is_conclusive) in [(60, true), (500, true), (7_900, false)] {
         let mut count = CrashCount::default();
         note_age(&mut count, "w-1", 1, CrashWeight::Weak, first_age_ms);
         note(&mut count, "w-2", 2, CrashWeight::Young);
@@ -82,8 +88,8 @@
         count.note_run(4, true);
         count.note_run(5, true);
         assert_eq!(
-            count.is_spent(),
-            is_spent,
+            count.is_conclusive(),
+            is_conclusive,
             "the first ended at {first_age_ms} ms"
         );
     }
@@ -100,5 +106,5 @@
     for run in 4..10 {
         count.note_run(run, true);
     }
-    assert!(!count.is_spent());
+    assert!(!count.is_conclusive());
 }
--- a/crates/bankvalve_queue/tests/entry.rs
+++ b/crates/bankvalve_queue/tests/entry.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use bankvalve_queue::{
-    CallerAnswer, CallerRequest, CoreAction, CoreEvent, EntryCore, EntrySettings, HeartbeatNews,
+    CallerAnswer, CallerRequest, CoreAction, CoreEvent, EntryCore, EntrySettings, HeartbeatBody,
     JobState, PeerAddress, PeerMessage, ResolvedRequest, StoreRequest, Ticket,
 };
 
@@ -21,12 +21,12 @@
 /// An instance that follows a leader at another address.
 fn follower(life: u64) -> EntryCore {
     let mut core = core_of_life(life);
-    let news = HeartbeatNews {
+    let news = HeartbeatBody {
         life: 9,
         epoch: 4,
         leader: Some(address(2)),
         leading: true,
-        ..HeartbeatNews::default()
+        ..HeartbeatBody::default()
     };
     let message = PeerMessage::Heartbeat(news);
     let event = CoreEvent::Peer {
--- a/crates/bankvalve_queue/tests/refusal.rs
+++ b/crates/bankvalve_queue/tests/refusal.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use bankvalve_queue::{
-    CallerAnswer, CallerRequest, CoreAction, CoreEvent, EntryCore, EntrySettings, HeartbeatNews,
+    CallerAnswer, CallerRequest, CoreAction, CoreEvent, EntryCore, EntrySettings, HeartbeatBody,
     JobSpec, PeerAddress, PeerMessage, RefusalReason, ResolvedRequest, RowWrite, StepSpec,
     StoreOutcome, StoreRequest, StoredRow, Ticket,
 };
@@ -117,12 +117,12 @@
         out: Vec::new(),
     };
     served.pass(50);
-    let news = HeartbeatNews {
+    let news = HeartbeatBody {
         life: 9,
         epoch: 4,
         leader: Some(address(2)),
         leading: true,
-        ..HeartbeatNews::default()
+        ..HeartbeatBody::default()
     };
     served.step(CoreEvent::Peer {
         from: address(2),
--- a/crates/bankvalve_standin/src/site/site_policy.rs
+++ b/crates/bankvalve_standin/src/site/site_policy.rs
@@ -1,6 +1,6 @@
 //! The service that permits starts.
 
-use bankvalve_queue::{AdviceAnswer, AdviceAsk, StepKey, WorkerId};
+use bankvalve_queue::{AdviceAnswer, AdviceRequest, StepKey, WorkerId};
 use xxhash_rust::xxh3::xxh3_64;
 
 /// Hundred parts of a share.
@@ -17,7 +17,7 @@
 
 impl SitePolicy {
     /// Answers a question at a time in milliseconds.
-    pub fn answer(&self, ask: &AdviceAsk, now_ms: u64) -> AdviceAnswer {
+    pub fn answer(&self, ask: &AdviceRequest, now_ms: u64) -> AdviceAnswer {
         let permits = ask
             .workers
             .iter()
--- a/crates/bankvalve_standin/src/site/site_store.rs
+++ b/crates/bankvalve_standin/src/site/site_store.rs
@@ -4,7 +4,7 @@
 
 use bankvalve_queue::{
     OperatorNews, QueueTable, RowChange, RowKey, StoreOutcome, StoreRequest, StoredRow,
-    WorkerEntry, WorkerId, WorkerNews,
+    WorkerEntry, WorkerId, WorkerRow,
 };
 
 /// Rows of one answer at most.
@@ -17,8 +17,8 @@
     rows: BTreeMap<RowKey, (Vec<u8>, u64)>,
     changes: Vec<RowChange>,
     config: Option<(QueueTable, Vec<u8>, u64)>,
-    workers: BTreeMap<WorkerId, WorkerNews>,
-    worker_changes: Vec<(u64, WorkerId, WorkerNews)>,
+    workers: BTreeMap<WorkerId, WorkerRow>,
+    worker_changes: Vec<(u64, WorkerId, WorkerRow)>,
     /// Version before which the history of changes is forgotten.
     forgotten: u64,
     /// Workers' entries of one answer at most, if fewer than usual.
@@ -73,7 +73,7 @@
     /// A page of the workers' entries, keys rising, as of now.
     fn read_workers(&self, from: &str) -> StoreOutcome {
         let page = self.worker_page.unwrap_or(PAGE);
-        let mut entries: Vec<(WorkerId, WorkerNews)> = self
+        let mut entries: Vec<(WorkerId, WorkerRow)> = self
             .workers
             .iter()
             .filter(|(id, _)| id.to_string().as_str() >= from)
@@ -121,18 +121,18 @@
 
     /// A worker writes its entry, or its entry goes.
     pub fn set_worker(&mut self, id: &WorkerId, entry: Option<WorkerEntry>) {
-        self.tell_of_worker(id, entry.map_or(WorkerNews::Gone, WorkerNews::Entry));
+        self.tell_of_worker(id, entry.map_or(WorkerRow::Gone, WorkerRow::Entry));
     }
 
     /// Another writer writes an entry of which no worker can be made.
     pub fn spoil_worker(&mut self, id: &WorkerId) {
-        self.tell_of_worker(id, WorkerNews::Unusable("written by another program"));
+        self.tell_of_worker(id, WorkerRow::Unusable("written by another program"));
     }
 
-    fn tell_of_worker(&mut self, id: &WorkerId, news: WorkerNews) {
+    fn tell_of_worker(&mut self, id: &WorkerId, news: WorkerRow) {
         self.version += 1;
         match &news {
-            WorkerNews::Gone => self.workers.remove(id),
+            WorkerRow::Gone => self.workers.remove(id),
             news => self.workers.insert(id.clone(), news.clone()),
         };
         self.worker_changes.push((self.version, id.clone(), news));
@@ -140,7 +140,7 @@
 
     /// Tells whether a worker's entry stands, and is its own.
     pub fn lists(&self, id: &WorkerId) -> bool {
-        matches!(self.workers.get(id), Some(WorkerNews::Entry(_)))
+        matches!(self.workers.get(id), Some(WorkerRow::Entry(_)))
     }
 
     /// Version before which the history of changes is forgotten.
