--- a/crates/bankvalve_queue/src/core/former_leaders.rs
+++ b/crates/bankvalve_queue/src/core/former_leaders.rs
@@ -4,7 +4,8 @@
 //! It has not seen the requests for these leases, so its assumptions rely on two rules that every leader
 //! follows:
 //!
-//! - *Confirmed leadership:* normally, a lease that it requests ends [`LEASE_DURATION`] after the last time at which
+//! - *Confirmed leadership:* normally, a lease that it requests ends [`LEASE_DURATION`] after the last time
+//!   at which
 //!   the table is known to have had its row. An instance that claims the row does so after that time.
 //! - *Mutual contact:* while the table is unavailable to all instances, it requests longer leases, but only
 //!   as long as each peer that was recently in mutual contact still receives its heartbeats. An instance that
@@ -26,19 +27,19 @@
 
 /// Age up to which a heartbeat that a peer has received shows that the peer is in contact: three heartbeat
 /// intervals of a non-preferred member, the round trip, and a slow turn of the event loop.
-const IN_TOUCH: Duration = Duration::from_millis(1_300);
+const IN_CONTACT_WITHIN: Duration = Duration::from_millis(1_300);
 /// Time before the last confirmation of leadership. A peer that was in contact within it must still be,
 /// because such a peer may rely on it.
-const TOUCH_MEMORY: Duration = Duration::from_secs(10);
-/// Age of the mutual contact with a leader up to which a successor relies on it: half of the time above, so
-/// that the two need not agree on the exact time.
-const TOUCH_RELIED_ON: Duration = Duration::from_secs(5);
+const CONTACT_MEMORY: Duration = Duration::from_secs(10);
+/// Age of the mutual contact with a leader up to which a successor relies on it: half of [`CONTACT_MEMORY`],
+/// so that the two need not agree on the exact time.
+const RELIED_CONTACT_AGE: Duration = Duration::from_secs(5);
 /// Time after which a leader whose heartbeats reach no peer may have a successor: less than the time without
 /// contact after which the first one claims.
-const UNHEARD_LONG: Duration = Duration::from_millis(600);
+const CUT_OFF_AFTER: Duration = Duration::from_millis(600);
 /// Age of the last confirmation up to which leases are counted from that confirmation: under load each write
 /// confirms the leadership, about forty times a second.
-const CERTAIN_LATELY: Duration = Duration::from_millis(300);
+const RECENT_CONFIRMATION: Duration = Duration::from_millis(300);
 /// Added for the latency of orders and of readings of workers' clocks.
 const ORDER_SLACK: Duration = Duration::from_millis(60);
 
@@ -53,7 +54,7 @@
     /// Whether that time is known, rather than the worst case.
     known: bool,
     /// Longest lease that it requested.
-    hold: Duration,
+    lease: Duration,
 }
 
 /// Former leaders whose leases may still last.
@@ -86,30 +87,30 @@
                 epoch: epoch - 1,
                 stops_by: now + UNCONFIRMED_LIMIT,
                 known: false,
-                hold: longest,
+                lease: longest,
             };
             self.add(unknown, now, longest);
         }
     }
 
     /// Returns whether there may be unknown leaders whose leases still last.
-    pub(super) fn may_lack_some(&self, now: CoreTime) -> bool {
+    pub(super) fn may_miss_leaders(&self, now: CoreTime) -> bool {
         now < self.missed_until
     }
 
     /// Returns when all leases that former leaders requested have expired.
     pub(super) fn leases_expire_at(&self) -> CoreTime {
-        let over = |former: &FormerLeader| {
-            former.stops_by + former.hold.mul_f64(SLOW_CLOCK_FACTOR) + ORDER_SLACK
+        let expiry = |former: &FormerLeader| {
+            former.stops_by + former.lease.mul_f64(SLOW_CLOCK_FACTOR) + ORDER_SLACK
         };
-        self.leaders.iter().map(over).max().unwrap_or_default()
+        self.leaders.iter().map(expiry).max().unwrap_or_default()
     }
 
     /// Returns the longest time for which a lease of any former leader lasts. A worker that has accepted a
     /// later token accepts no more leases from them, so theirs expire within this time.
     pub(super) fn longest_lease(&self) -> Duration {
-        let holds = self.leaders.iter().map(|former| former.hold);
-        holds.max().unwrap_or_default().mul_f64(SLOW_CLOCK_FACTOR) + ORDER_SLACK
+        let leases = self.leaders.iter().map(|former| former.lease);
+        leases.max().unwrap_or_default().mul_f64(SLOW_CLOCK_FACTOR) + ORDER_SLACK
     }
 
     /// Returns whether it is known of all former leaders when they stopped.
@@ -118,9 +119,9 @@
     }
 
     fn add(&mut self, former: FormerLeader, now: CoreTime, longest: Duration) {
-        let over = |old: &FormerLeader| now > old.stops_by + longest * 2;
+        let expired = |old: &FormerLeader| now > old.stops_by + longest * 2;
         self.leaders
-            .retain(|old| !over(old) && old.epoch != former.epoch);
+            .retain(|old| !expired(old) && old.epoch != former.epoch);
         self.leaders.push(former);
     }
 
@@ -129,7 +130,7 @@
     pub(super) fn note_heartbeat(
         &mut self,
         from: PeerAddress,
-        news: &HeartbeatBody,
+        body: &HeartbeatBody,
         now: CoreTime,
     ) {
         for former in self
@@ -137,14 +138,14 @@
             .iter_mut()
             .filter(|former| former.address == from)
         {
-            let deposed = !news.leading && news.epoch > former.epoch;
+            let stepped_down = !body.leading && body.epoch > former.epoch;
             // A delayed heartbeat of an earlier process proves neither. A process is numbered by its start
             // time.
-            if news.life > former.life || deposed {
+            if body.life > former.life || stepped_down {
                 former.stops_by = former.stops_by.min(now);
                 former.known = true;
-                if news.hold_ms > 0 {
-                    former.hold = Duration::from_millis(news.hold_ms);
+                if body.hold_ms > 0 {
+                    former.lease = Duration::from_millis(body.hold_ms);
                 }
             }
         }
@@ -167,24 +168,25 @@
     pub(super) fn note_former_leader(&mut self, old: &LeaderView) {
         let now = self.now;
         let known = self.enforces(SiteGuard::KnownHolds);
-        let heard = self.in_touch_until(old).filter(|_| known);
-        let (stops_by, known) = match (self.has_ended(old), heard) {
+        let last_heartbeat = self.mutual_contact_until(old).filter(|_| known);
+        let (stops_by, known) = match (self.has_ended(old), last_heartbeat) {
             (true, _) => (now, true),
-            (false, Some(at)) => (now.max(at + IN_TOUCH), true),
+            (false, Some(at)) => (now.max(at + IN_CONTACT_WITHIN), true),
             (false, None) => (now + UNCONFIRMED_LIMIT, false),
         };
-        let hold = self.told_hold(old).unwrap_or(self.settings.hold_limit);
-        self.add_former_leader(old, stops_by, known, hold);
+        let lease = self.reported_lease(old).unwrap_or(self.settings.hold_limit);
+        self.add_former_leader(old, stops_by, known, lease);
     }
 
     /// Returns the longest lease that a leader requested, according to heartbeats of any process at its
     /// address.
-    fn told_hold(&self, old: &LeaderView) -> Option<Duration> {
+    fn reported_lease(&self, old: &LeaderView) -> Option<Duration> {
         if old.address == self.settings.address {
             return Some(self.lease_duration());
         }
-        let told = self.peers.get(&old.address)?.heartbeat.hold_ms;
-        (told > 0 && self.enforces(SiteGuard::KnownHolds)).then(|| Duration::from_millis(told))
+        let reported = self.peers.get(&old.address)?.heartbeat.hold_ms;
+        (reported > 0 && self.enforces(SiteGuard::KnownHolds))
+            .then(|| Duration::from_millis(reported))
     }
 
     /// Finds former leaders whose end is unknown but which are in contact with no peer, according to the
@@ -199,38 +201,39 @@
         let (now, own) = (self.now, self.lease_duration());
         let mut leaders = std::mem::take(&mut self.former_leaders.leaders);
         for former in leaders.iter_mut().filter(|former| !former.known) {
-            if self.nobody_hears(former) {
+            if self.is_out_of_contact(former) {
                 former.stops_by = former.stops_by.min(now);
                 former.known = true;
                 // Members of the same version request the same lease.
-                former.hold = former.hold.min(own);
+                former.lease = former.lease.min(own);
             }
         }
         self.former_leaders.leaders = leaders;
     }
 
-    fn nobody_hears(&self, former: &FormerLeader) -> bool {
+    fn is_out_of_contact(&self, former: &FormerLeader) -> bool {
         // The address of an unknown leader is not known, so no heartbeat can refer to it.
-        let named = former.life > 0 && self.members_known;
+        let has_address = former.life > 0 && self.members_known;
         let mut others = self
             .peers
             .iter()
             .filter(|(address, _)| **address != former.address);
-        let heard = self.peers.get(&former.address);
-        let silent = heard.is_none_or(|peer| !peer.is_live(self.now));
-        named
-            && silent
+        let former_peer = self.peers.get(&former.address);
+        let not_live = former_peer.is_none_or(|peer| !peer.is_live(self.now));
+        has_address
+            && not_live
             && others.all(|(_, peer)| {
                 let age = Duration::from_millis(peer.heartbeat.leader_age_ms);
-                let hears = peer.heartbeat.leader == Some(former.address) && age < IN_TOUCH;
-                peer.is_live(self.now) && !hears
+                let in_contact =
+                    peer.heartbeat.leader == Some(former.address) && age < IN_CONTACT_WITHIN;
+                peer.is_live(self.now) && !in_contact
             })
     }
 
     /// Records that this instance's leadership has ended, or that of a leader that reported that it stopped.
     pub(super) fn note_ended_leader(&mut self, old: &LeaderView) {
-        let hold = self.told_hold(old).unwrap_or(self.settings.hold_limit);
-        self.add_former_leader(old, self.now, true, hold);
+        let lease = self.reported_lease(old).unwrap_or(self.settings.hold_limit);
+        self.add_former_leader(old, self.now, true, lease);
     }
 
     fn add_former_leader(
@@ -238,7 +241,7 @@
         old: &LeaderView,
         stops_by: CoreTime,
         known: bool,
-        hold: Duration,
+        lease: Duration,
     ) {
         let former = FormerLeader {
             address: old.address,
@@ -246,7 +249,7 @@
             epoch: old.epoch,
             stops_by,
             known,
-            hold,
+            lease,
         };
         let longest = self.settings.hold_limit;
         self.former_leaders.add(former, self.now, longest);
@@ -260,35 +263,35 @@
 
     /// Returns when the last heartbeat came from a leader that required this instance to receive its
     /// heartbeats; `None` if it did not.
-    fn in_touch_until(&self, old: &LeaderView) -> Option<CoreTime> {
+    fn mutual_contact_until(&self, old: &LeaderView) -> Option<CoreTime> {
         // On a large site, a leader requires this of preferred members only: the others hear from it too
         // rarely.
-        let counted = !self.has_many_members() || self.preferred.contains(&self.settings.address);
-        let peer = self.peers.get(&old.address).filter(|_| counted)?;
-        let lately = |at: &CoreTime| self.age(*at) < TOUCH_RELIED_ON;
-        let mutual = peer.echo.is_mutual() && peer.echo.contact().as_ref().is_some_and(lately);
+        let is_required =
+            !self.has_many_members() || self.preferred.contains(&self.settings.address);
+        let peer = self.peers.get(&old.address).filter(|_| is_required)?;
+        let is_recent = |at: &CoreTime| self.age(*at) < RELIED_CONTACT_AGE;
+        let mutual = peer.echo.is_mutual() && peer.echo.contact().as_ref().is_some_and(is_recent);
         let same_life = peer.heartbeat.life == old.life;
         peer.echo
             .last_contact()
-            .filter(|at| mutual && same_life && lately(at))
+            .filter(|at| mutual && same_life && is_recent(at))
     }
 
     /// Returns the latest time until which this leader may request leases.
     pub(super) fn lease_bound(&self) -> CoreTime {
-        let hold = self.lease_duration();
+        let lease = self.lease_duration();
         let Some(lead) = self.lead.as_deref() else {
             return self.now;
         };
-        let certain = (lead.confirmed_at + hold).min(self.now + hold);
+        let confirmed_bound = (lead.confirmed_at + lease).min(self.now + lease);
         // Scans the peers only if that can make a difference, because this runs for each poll and start.
-        let fresh = self.age(lead.confirmed_at) < CERTAIN_LATELY;
-        if !fresh
-            && (self.all_are_in_touch(lead.confirmed_at)
-                || !self.enforces(SiteGuard::LeaderInTouch))
+        let recently_confirmed = self.age(lead.confirmed_at) < RECENT_CONFIRMATION;
+        if !recently_confirmed
+            && (self.all_in_contact(lead.confirmed_at) || !self.enforces(SiteGuard::LeaderInTouch))
         {
-            self.now + hold
+            self.now + lease
         } else {
-            certain
+            confirmed_bound
         }
     }
 
@@ -299,24 +302,24 @@
         let Some(lead) = self.lead.as_deref() else {
             return false;
         };
-        let since = lead.confirmed_at.saturating_sub(TOUCH_MEMORY);
+        let since = lead.confirmed_at.saturating_sub(CONTACT_MEMORY);
         let contacts = self.peers.values().filter_map(|peer| peer.echo.contact());
         let last = contacts.filter(|at| *at >= since).max();
-        let long = |at: CoreTime| self.age(at) > UNHEARD_LONG;
-        long(lead.confirmed_at) && last.is_some_and(long)
+        let too_long = |at: CoreTime| self.age(at) > CUT_OFF_AFTER;
+        too_long(lead.confirmed_at) && last.is_some_and(too_long)
     }
 
-    /// Returns whether each peer that may rely on this leader still receives its heartbeats. If none ever did
-    /// although there are peers, the leader is in contact with no peer and may be cut off.
-    fn all_are_in_touch(&self, certain_at: CoreTime) -> bool {
-        let since = certain_at.saturating_sub(TOUCH_MEMORY);
+    /// Returns whether each peer that may rely on this leader still receives its heartbeats. If no such
+    /// peer was recently in contact although there are peers, the leader may be cut off.
+    fn all_in_contact(&self, last_confirmed: CoreTime) -> bool {
+        let since = last_confirmed.saturating_sub(CONTACT_MEMORY);
         let mut contacts = self.peers.iter().filter_map(|(address, peer)| {
-            let relies = !self.has_slow_heartbeat(*address) && !peer.heartbeat.stopping;
-            peer.echo.contact().filter(|at| relies && *at >= since)
+            let may_rely = !self.has_slow_heartbeat(*address) && !peer.heartbeat.stopping;
+            peer.echo.contact().filter(|at| may_rely && *at >= since)
         });
         let Some(first) = contacts.next() else {
             return self.peers.is_empty();
         };
-        contacts.fold(first, CoreTime::min) + IN_TOUCH > self.now
+        contacts.fold(first, CoreTime::min) + IN_CONTACT_WITHIN > self.now
     }
 }
--- a/crates/bankvalve_queue/src/core/incarnation.rs
+++ b/crates/bankvalve_queue/src/core/incarnation.rs
@@ -1,9 +1,9 @@
 //! Incarnations: the successive processes of a worker under one id.
 //!
 //! A worker may restart under its id. The new process runs nothing, has seen no fencing token, numbers its
-//! ends from one and has another clock. So everything that a leader knows about a worker, its [`WorkerState`],
-//! belongs to one process and is replaced with it. References to a process from elsewhere contain its
-//! [`Incarnation`] instead of the worker's id.
+//! ends from one and has another clock. So everything that a leader knows about a worker, its
+//! [`WorkerState`], belongs to one process and is replaced with it. References to a process from elsewhere
+//! contain its [`Incarnation`] instead of the worker's id.
 //!
 //! The start time in a worker's run lists identifies the process that answers. Only one poll of a worker is
 //! in flight at a time, so the lists that arrive later are newer. Start times are times of day, which may go
@@ -54,7 +54,7 @@
                 self.counters.count("workers", "process_not_told");
                 return false;
             }
-            self.begin_incarnation(id, sent_at, report, clock_ms);
+            self.start_incarnation(id, sent_at, report, clock_ms);
             let started = report.started;
             self.counters.count("workers", "restarted");
             let detail = format!("{before:?} before, {started:?} now");
@@ -65,7 +65,7 @@
 
     /// Starts a new incarnation of a worker. The runs of the previous process have ended, except those that
     /// the new one has started from an order in flight, or may still start.
-    fn begin_incarnation(
+    fn start_incarnation(
         &mut self,
         id: &WorkerId,
         sent_at: CoreTime,
@@ -96,9 +96,9 @@
                 (before.last_end_seen, before.last_end_committed);
         }
         // A deadline by the old clock may be far in the future on the new one: the worker limits it to this.
-        let held = clock_ms.map(|clock| clock + hold_limit.as_millis() as u64);
+        let max_lease = clock_ms.map(|clock| clock + hold_limit.as_millis() as u64);
         state.lease_until = match own_clock {
-            true => held.unwrap_or(0),
+            true => max_lease.unwrap_or(0),
             false => before.lease_until,
         };
         for (task, live) in moved {
@@ -121,7 +121,7 @@
         let now = self.now;
         let running = report.running.iter().map(|run| (run.task, run.run));
         let ended = report.ended.iter().map(|end| (end.task, end.run));
-        let told: BTreeSet<(TaskKey, RunId)> = running.chain(ended).collect();
+        let reported: BTreeSet<(TaskKey, RunId)> = running.chain(ended).collect();
         let loss = self.loss_of(id, ProcessEnd::Restarted);
         let state = self
             .lead
@@ -131,7 +131,7 @@
             return Vec::new();
         };
         let moved = state.runs.iter().filter_map(|(task, live)| {
-            if told.contains(&(*task, live.run)) {
+            if reported.contains(&(*task, live.run)) {
                 return Some((*task, live.clone()));
             }
             let how = || self.end_with_worker(state, &loss, task, live);
@@ -139,8 +139,8 @@
                 return Some((*task, live.clone().stopped_after(how(), now)));
             }
             // The list may be older than the run's start. The next one shows which process has started it.
-            let since_asked = live.is_running_since(sent_at);
-            since_asked.then(|| (*task, live.clone().with_end_if_unlisted(how())))
+            let started_after_poll = live.is_running_since(sent_at);
+            started_after_poll.then(|| (*task, live.clone().with_end_if_unlisted(how())))
         });
         let moved: Vec<(TaskKey, LiveRun)> = moved.collect();
         if let Some(state) = self.worker_state_mut(id) {
--- a/crates/bankvalve_queue/src/core/lease_renewal.rs
+++ b/crates/bankvalve_queue/src/core/lease_renewal.rs
@@ -21,51 +21,51 @@
 /// have requested it.
 pub(super) const LEASE_DURATION: Duration = Duration::from_millis(5_000);
 /// Longest time for which a worker waits for the end of a run before it answers a poll.
-const LOOK_WAIT: Duration = Duration::from_millis(900);
+const POLL_WAIT: Duration = Duration::from_millis(900);
 /// Longest such wait of a worker with urgent runs. The leader notices a lost answer only after the wait, and
 /// a short lookup takes about as long.
-const URGENT_LOOK_WAIT: Duration = Duration::from_millis(350);
+const URGENT_POLL_WAIT: Duration = Duration::from_millis(350);
 /// Longest such wait of a worker with an isolated suspect. How soon after the start the worker ends shows
 /// whether the task crashes its workers or was there by chance. Trials are few and short.
-const TRIAL_LOOK_WAIT: Duration = Duration::from_millis(50);
+const TRIAL_POLL_WAIT: Duration = Duration::from_millis(50);
 /// Longest time allowed for the round trip of a poll and a slow worker, beyond the wait.
-const LOOK_SLACK: Duration = Duration::from_millis(600);
+const POLL_SLACK: Duration = Duration::from_millis(600);
 /// Time beyond a call's own timeout after which its answer counts as lost. The link reports the outcome of
 /// each call in time, unless the core's event ring was full.
-const LOST_ANSWER: Duration = Duration::from_millis(1_000);
+const LOST_ANSWER_SLACK: Duration = Duration::from_millis(1_000);
 /// Shortest interval between two polls, so that one answer reports ends in quick succession.
-const LOOK_PACE: Duration = Duration::from_millis(15);
+const MIN_POLL_INTERVAL: Duration = Duration::from_millis(15);
 /// Pause between polls while reported ends wait to be committed.
-const KEEP_PAUSE: Duration = Duration::from_millis(500);
+const COMMIT_PAUSE: Duration = Duration::from_millis(500);
 /// Time since the last contact within which a worker has left at most one poll unanswered.
-const FIRST_SILENCE: Duration = Duration::from_millis(1_300);
+const FIRST_MISS_WINDOW: Duration = Duration::from_millis(1_300);
 /// Pause after a poll that the worker's port refused, so that a new process there is found soon.
 const REFUSED_PAUSE: Duration = Duration::from_millis(50);
 /// Pause after a poll without an answer. After the first such poll there is none.
-const SILENT_PAUSE: Duration = Duration::from_millis(250);
+const UNRESPONSIVE_PAUSE: Duration = Duration::from_millis(250);
 /// Longest wait before the answer of a worker that runs nothing, on a site with many workers.
-const IDLE_LOOK_WAIT: Duration = Duration::from_millis(2_000);
+const IDLE_POLL_WAIT: Duration = Duration::from_millis(2_000);
 /// Number of workers above which the load of polling idle ones matters.
 const MANY_WORKERS: usize = 500;
 /// Most first polls in flight at once. Each needs a new connection, and thousands of them would occupy the
 /// CPU for longer than their timeout.
-const FIRST_LOOKS: usize = 150;
+const MAX_FIRST_POLLS: usize = 150;
 /// Smallest limit on polls in flight to unresponsive workers.
-const SILENT_LOOKS: usize = 8;
+const MIN_UNRESPONSIVE_POLLS: usize = 8;
 /// Divisor of the number of workers that gives this limit. When all workers are unresponsive, the cause is
 /// the leader's own link or CPU, and polling all of them repeatedly, each on a new connection, would prolong
 /// that.
-const SILENT_SHARE: usize = 16;
+const UNRESPONSIVE_POLL_DIVISOR: usize = 16;
 /// Time without contact for which the leader waits for a worker that keeps its own entry in the table. It is
 /// running, and its run lists will show which of its runs succeeded. Their tasks start elsewhere some
 /// seconds later than its lease would allow, instead of running to completion twice.
-const LISTED_SILENCE: Duration = Duration::from_millis(10_000);
+const LISTED_TIMEOUT: Duration = Duration::from_millis(10_000);
 /// Such a time while many workers are unresponsive at once, usually because of a fault of the leader itself.
-const COMMON_SILENCE: Duration = Duration::from_millis(30_000);
+const MASS_LISTED_TIMEOUT: Duration = Duration::from_millis(30_000);
 /// Divisor of the number of workers with runs that gives how many of them count as many unresponsive ones.
-const COMMON_SHARE: usize = 4;
+const MANY_UNRESPONSIVE_DIVISOR: usize = 4;
 /// Smallest number of workers with runs that counts as many unresponsive ones.
-const COMMON_LEAST: usize = 3;
+const MIN_MANY_UNRESPONSIVE: usize = 3;
 /// Time since the last contact within which a worker's lease is renewed. It allows one more renewal after a
 /// poll whose answer is lost (1.5 s). A lost worker's tasks start again no sooner than this time and a lease
 /// after the last contact.
@@ -76,7 +76,7 @@
 /// take time to arrive.
 pub(super) const SLOW_CLOCK_FACTOR: f64 = 1.03;
 /// Time without contact after which a worker without entry and runs is forgotten.
-const FORGET_SEAT: Duration = Duration::from_secs(8);
+const FORGET_WORKER_AFTER: Duration = Duration::from_secs(8);
 
 impl EntryCore {
     /// Returns whether this leader may still send calls to workers.
@@ -107,63 +107,65 @@
         // A worker's answer may be queued behind the event that is being handled.
         let seen = now.saturating_sub(self.lag);
         let is_unresponsive = |state: &WorkerState| !state.has_contact(seen, UNRESPONSIVE_AFTER);
-        let (mut first_looks, mut silent_looks) = (0, 0);
+        let (mut first_polls, mut unresponsive_polls) = (0, 0);
         for state in lead
             .worker_states
             .values()
             .filter(|state| state.poll_in_flight)
         {
-            first_looks += usize::from(!state.token_accepted);
-            silent_looks += usize::from(state.token_accepted && is_unresponsive(state));
+            first_polls += usize::from(!state.token_accepted);
+            unresponsive_polls += usize::from(state.token_accepted && is_unresponsive(state));
         }
-        let mut silent_due = Vec::new();
-        let mut over = Vec::new();
-        let mut gone = Vec::new();
+        let mut unresponsive_due = Vec::new();
+        let mut expired = Vec::new();
+        let mut forgotten = Vec::new();
         for (id, state) in lead.worker_states.iter() {
-            let told = self.stopped_leases.unresponsive_since(id);
-            let known_at = told.unwrap_or(state.known_at).min(state.known_at);
-            let silent = seen.saturating_sub(state.last_contact.unwrap_or(known_at));
-            let silent_long = is_unresponsive(state);
-            if !state.runs.is_empty() && silent_long && self.is_over(id, state) {
-                over.push((id.clone(), state.listed, silent));
+            let recorded = self.stopped_leases.unresponsive_since(id);
+            let known_at = recorded.unwrap_or(state.known_at).min(state.known_at);
+            let without_contact = seen.saturating_sub(state.last_contact.unwrap_or(known_at));
+            let unresponsive = is_unresponsive(state);
+            if !state.runs.is_empty() && unresponsive && self.all_runs_ended(id, state) {
+                expired.push((id.clone(), state.listed, without_contact));
             }
             let idle = now.saturating_sub(state.last_contact.unwrap_or(state.known_at));
-            if !state.listed && state.runs.is_empty() && idle > FORGET_SEAT {
-                gone.push(id.clone());
+            if !state.listed && state.runs.is_empty() && idle > FORGET_WORKER_AFTER {
+                forgotten.push(id.clone());
             } else if !state.poll_is_due(now) {
                 continue;
             } else if !state.token_accepted {
-                first_looks += 1;
-                due.extend((first_looks <= FIRST_LOOKS).then(|| id.clone()));
-            } else if silent_long {
-                silent_due.push((state.next_poll, id.clone()));
+                first_polls += 1;
+                due.extend((first_polls <= MAX_FIRST_POLLS).then(|| id.clone()));
+            } else if unresponsive {
+                unresponsive_due.push((state.next_poll, id.clone()));
             } else {
                 due.push(id.clone());
             }
         }
-        let budget = SILENT_LOOKS.max(lead.worker_states.len() / SILENT_SHARE);
-        silent_due.sort_unstable();
-        silent_due.truncate(budget.saturating_sub(silent_looks));
-        due.extend(silent_due.into_iter().map(|(_, id)| id));
+        let budget =
+            MIN_UNRESPONSIVE_POLLS.max(lead.worker_states.len() / UNRESPONSIVE_POLL_DIVISOR);
+        unresponsive_due.sort_unstable();
+        unresponsive_due.truncate(budget.saturating_sub(unresponsive_polls));
+        due.extend(unresponsive_due.into_iter().map(|(_, id)| id));
         let mut waited_for = Vec::new();
-        if !over.is_empty() {
-            let patience = self.unresponsive_timeout(lead);
-            let is_waited_for =
-                |(_, listed, silent): &(WorkerId, bool, Duration)| *listed && *silent < patience;
-            (waited_for, over) = over.into_iter().partition(is_waited_for);
+        if !expired.is_empty() {
+            let timeout = self.unresponsive_timeout(lead);
+            let is_waited_for = |(_, listed, without_contact): &(WorkerId, bool, Duration)| {
+                *listed && *without_contact < timeout
+            };
+            (waited_for, expired) = expired.into_iter().partition(is_waited_for);
         }
         for id in due {
-            self.look(&id);
+            self.poll_worker(&id);
         }
         self.stop_silent_leases();
-        for (id, ..) in over {
+        for (id, ..) in expired {
             self.declare_worker_lost(&id, ProcessEnd::LeaseExpired);
         }
         for (id, ..) in waited_for {
-            self.give_up_untold(&id);
+            self.end_runs_without_result(&id);
         }
         if let Some(lead) = self.lead.as_deref_mut() {
-            for id in gone {
+            for id in forgotten {
                 lead.worker_states.remove(&id);
             }
         }
@@ -174,19 +176,20 @@
         if !self.enforces(SiteGuard::LateDone) {
             return Duration::ZERO;
         }
-        let busy = lead
+        let with_runs = lead
             .worker_states
             .values()
             .filter(|state| !state.runs.is_empty());
-        let silent = busy
+        let unresponsive_workers = with_runs
             .clone()
             .filter(|state| !state.has_contact(self.now, UNRESPONSIVE_AFTER));
-        let (busy, silent) = (busy.count(), silent.count());
-        let common = silent >= COMMON_LEAST && silent * COMMON_SHARE >= busy;
-        if common {
-            COMMON_SILENCE
+        let (with_runs, unresponsive_workers) = (with_runs.count(), unresponsive_workers.count());
+        let many_unresponsive = unresponsive_workers >= MIN_MANY_UNRESPONSIVE
+            && unresponsive_workers * MANY_UNRESPONSIVE_DIVISOR >= with_runs;
+        if many_unresponsive {
+            MASS_LISTED_TIMEOUT
         } else {
-            LISTED_SILENCE
+            LISTED_TIMEOUT
         }
     }
 
@@ -195,22 +198,22 @@
     /// arrive, a success that is reported later still counts.
     ///
     /// The worker's entry still exists, so nothing shows that the worker has ended.
-    fn give_up_untold(&mut self, id: &WorkerId) {
+    fn end_runs_without_result(&mut self, id: &WorkerId) {
         let now = self.now;
         let lead = self.lead.as_deref();
         let Some(state) = lead.and_then(|lead| lead.worker_states.get(id)) else {
             return;
         };
-        let untold = state
+        let without_result = state
             .runs
             .iter()
             .filter(|(_, live)| !live.may_report_success());
-        let lost: Vec<_> = untold
+        let lost: Vec<_> = without_result
             .map(|(task, live)| (*task, live.run, live.saved.clone(), live.summary(now)))
             .collect();
-        for (task, run, saved, sight) in lost {
+        for (task, run, saved, run_summary) in lost {
             let why = format!(
-                "{}, its entry stands, {sight}",
+                "{}, its entry stands, {run_summary}",
                 ProcessEnd::LeaseExpired.as_str()
             );
             self.end_without_report(id, task, run, EndKind::Lost, saved, &why);
@@ -218,19 +221,19 @@
     }
 
     /// Returns whether all runs on an unresponsive worker are known to have ended.
-    fn is_over(&self, id: &WorkerId, state: &WorkerState) -> bool {
+    fn all_runs_ended(&self, id: &WorkerId, state: &WorkerState) -> bool {
         if !self.enforces(SiteGuard::HoldOver) {
             return true;
         }
         let former = self.former_leases_expire_at(id);
         if !state.token_accepted {
             // The worker may be running: it is polled once before, if its entry exists.
-            let asked = !state.listed || state.unanswered > 0;
+            let polled = !state.listed || state.unanswered > 0;
             let workers_known = self.lead.as_deref().is_some_and(|lead| lead.workers_known);
-            return self.now > former && workers_known && asked;
+            return self.now > former && workers_known && polled;
         }
-        let taken = state.token_accepted_at + self.former_leaders.longest_lease();
-        self.now > former.min(taken) && state.lease_has_expired(self.now)
+        let former_bound = state.token_accepted_at + self.former_leaders.longest_lease();
+        self.now > former.min(former_bound) && state.lease_has_expired(self.now)
     }
 
     /// Polls a worker at once if that is due, without scanning all workers.
@@ -241,24 +244,24 @@
             .as_ref()
             .and_then(|lead| lead.worker_states.get(id));
         if self.may_command() && state.is_some_and(|state| state.poll_is_due(now)) {
-            self.look(id);
+            self.poll_worker(id);
         }
     }
 
-    fn look(&mut self, id: &WorkerId) {
+    fn poll_worker(&mut self, id: &WorkerId) {
         let now = self.now;
         let bound = self.lease_bound();
-        let short_looks = self.uses(PolicySwitch::ShortLooks);
+        let short_polls = self.uses(PolicySwitch::ShortLooks);
         let Some(lead) = self.lead.as_deref_mut() else {
             return;
         };
         let many = lead.worker_states.len() > MANY_WORKERS;
         let proxy = lead.proxies.proxy_of(id);
-        let slack = lead.answer_limit(LOOK_SLACK);
+        let slack = lead.answer_limit(POLL_SLACK);
         let Some(state) = lead.worker_states.get_mut(id) else {
             return;
         };
-        let heard = state.has_contact(now, RENEW_WITHIN);
+        let in_contact = state.has_contact(now, RENEW_WITHIN);
         let until_ms = if state.may_renew_lease(now, RENEW_WITHIN) {
             state.lease_deadline(bound)
         } else {
@@ -273,21 +276,21 @@
             && (!state.has_unacknowledged_ends() || connection.is_some());
         // After a lost answer the worker does not wait. A second wait would exceed the time since the last
         // contact within which its lease is renewed.
-        let wait = if !(state.token_accepted && settled && heard) || state.unanswered > 0 {
+        let wait = if !(state.token_accepted && settled && in_contact) || state.unanswered > 0 {
             Duration::ZERO
         } else if state.is_on_trial() {
-            TRIAL_LOOK_WAIT
+            TRIAL_POLL_WAIT
         } else if many && state.runs.is_empty() {
-            IDLE_LOOK_WAIT
-        } else if short_looks && state.has_urgent_run() {
-            URGENT_LOOK_WAIT
+            IDLE_POLL_WAIT
+        } else if short_polls && state.has_urgent_run() {
+            URGENT_POLL_WAIT
         } else {
-            LOOK_WAIT
+            POLL_WAIT
         };
         let slack = if state.token_accepted {
             slack
         } else {
-            LOOK_SLACK
+            POLL_SLACK
         };
         state.poll_in_flight = true;
         state.poll_wait = wait;
@@ -311,11 +314,13 @@
     ) {
         let ticket = self.take_ticket();
         let proxy = self.send_via_proxy(ticket, id, &call, time);
-        let way = self
+        let trip = self
             .lead
             .as_deref()
             .map_or(Duration::ZERO, |lead| lead.round_trip_time);
-        let slack = proxy.map_or(LOST_ANSWER, |_| PROXY_SLACK + way.min(MAX_ROUND_TRIP));
+        let slack = proxy.map_or(LOST_ANSWER_SLACK, |_| {
+            PROXY_SLACK + trip.min(MAX_ROUND_TRIP)
+        });
         let limit = self.now + time + slack;
         let Some(lead) = self.lead.as_deref_mut() else {
             return;
@@ -392,12 +397,12 @@
                 {
                     state.listed = false;
                     state.poll_in_flight = false;
-                    state.next_poll = now + FORGET_SEAT;
+                    state.next_poll = now + FORGET_WORKER_AFTER;
                 }
             }
             answer => match *purpose {
                 CallPurpose::Poll { acknowledges } => {
-                    self.end_look(&id, &open, acknowledges, &answer)
+                    self.handle_poll_answer(&id, &open, acknowledges, &answer)
                 }
                 CallPurpose::Start { task, run } => self.end_start(&id, task, run, &answer),
                 CallPurpose::Stop { task, run } => self.end_stop(&id, task, run, &answer),
@@ -406,7 +411,7 @@
     }
 
     /// Handles the answer to a poll that acknowledged ends up to a number.
-    fn end_look(
+    fn handle_poll_answer(
         &mut self,
         id: &WorkerId,
         open: &OpenCall,
@@ -425,7 +430,7 @@
             } => {
                 let before = self.worker_state_mut(id).map(|state| state.number);
                 if !self.identify_process(id, sent_at, report, *clock_ms) {
-                    self.end_silent_look(id, sent_at, answer);
+                    self.handle_unanswered_poll(id, sent_at, answer);
                     return;
                 }
                 if let Some(state) = self.worker_state_mut(id) {
@@ -437,7 +442,7 @@
                         connection,
                     });
                 }
-                self.end_answered_look(id, sent_at, report, *clock_ms);
+                self.handle_answered_poll(id, sent_at, report, *clock_ms);
             }
             // The only connection allowed has closed, which shows nothing about the worker: poll it again.
             WorkerAnswer::NotSent if acknowledged > 0 => {
@@ -447,45 +452,45 @@
                 }
                 self.poll_if_due(id);
             }
-            _ => self.end_silent_look(id, sent_at, answer),
+            _ => self.handle_unanswered_poll(id, sent_at, answer),
         }
     }
 
-    fn end_silent_look(&mut self, id: &WorkerId, sent_at: CoreTime, answer: &WorkerAnswer) {
+    fn handle_unanswered_poll(&mut self, id: &WorkerId, sent_at: CoreTime, answer: &WorkerAnswer) {
         let now = self.now;
         let Some(state) = self.worker_state_mut(id) else {
             return;
         };
         // Polls again at once after a first lost answer, and after a pause if the worker stays unresponsive.
-        let first_silence = state.has_contact(now, FIRST_SILENCE);
+        let first_miss = state.has_contact(now, FIRST_MISS_WINDOW);
         // A connection timeout counts as no answer, and is no evidence that the worker has ended.
         state.refused = *answer == WorkerAnswer::PortRefused;
         if state.refused {
             state.refused_at.get_or_insert(now);
         }
-        state.next_poll = match (first_silence, state.refused) {
-            (false, _) => now + SILENT_PAUSE,
+        state.next_poll = match (first_miss, state.refused) {
+            (false, _) => now + UNRESPONSIVE_PAUSE,
             (true, true) => now + REFUSED_PAUSE,
             (true, false) => now,
         };
-        let asked = now.saturating_sub(sent_at);
+        let waited = now.saturating_sub(sent_at);
         let runs = state.runs.len();
         state.unanswered += 1;
         let unanswered = state.unanswered;
         if unanswered.is_power_of_two() {
             self.log_often("workers", "silent", || {
-                let detail = format!("{answer:?} after {asked:?}, poll {unanswered}, {runs} runs");
+                let detail = format!("{answer:?} after {waited:?}, poll {unanswered}, {runs} runs");
                 (id.to_string(), detail)
             });
         }
         self.counters.count("retries", "worker_silent");
         self.propose_crash_evidence(id);
-        if let Some(lead) = self.lead.as_deref_mut().filter(|_| first_silence) {
+        if let Some(lead) = self.lead.as_deref_mut().filter(|_| first_miss) {
             lead.note_miss();
         }
     }
 
-    fn end_answered_look(
+    fn handle_answered_poll(
         &mut self,
         id: &WorkerId,
         sent_at: CoreTime,
@@ -517,7 +522,7 @@
         state.next_poll = if first {
             now
         } else {
-            (sent_at + LOOK_PACE).max(now)
+            (sent_at + MIN_POLL_INTERVAL).max(now)
         };
         self.request_lease_renewal(id);
         self.handle_report(id, sent_at, report);
@@ -529,7 +534,7 @@
         }
         if let Some(state) = lead.worker_states.get_mut(id) {
             if state.last_end_seen != state.last_end_committed && !state.has_unacknowledged_ends() {
-                state.next_poll = now + KEEP_PAUSE;
+                state.next_poll = now + COMMIT_PAUSE;
             }
         }
         self.poll_if_due(id);
--- a/crates/bankvalve_queue/src/core/lost_contact.rs
+++ b/crates/bankvalve_queue/src/core/lost_contact.rs
@@ -5,8 +5,8 @@
 //!
 //! This module decides nothing. About ten times a second, [`EntryCore::track_waits`] scans the state on which
 //! `lease_renewal` and `placement` base their decisions. It logs when a task starts or stops waiting and for
-//! which reason, and counts such tasks for the metrics. `belief_of` calculates for how long a worker that is
-//! out of contact may still run its tasks; its result must agree with `lease_renewal`.
+//! which reason, and counts such tasks for the metrics. `assumed_run` calculates for how long a worker that
+//! is out of contact may still run its tasks; its result must agree with `lease_renewal`.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -23,17 +23,17 @@
 use crate::ledger::{JobOutcome, JobRecord, TaskPhase};
 
 /// Interval between two scans of waiting tasks: a tenth of the shortest wait that is logged.
-const LOOK_PACE: Duration = Duration::from_millis(100);
+const SCAN_INTERVAL: Duration = Duration::from_millis(100);
 /// Added to the interval for each waiting task: about forty times the cost of scanning one, so that
 /// thousands of them take at most a hundredth of a core.
-const LOOK_EACH: Duration = Duration::from_micros(20);
+const SCAN_INTERVAL_PER_TASK: Duration = Duration::from_micros(20);
 /// Time within which a worker usually answers a new leader. The first poll times out after about 0.6 s,
 /// and the next one follows 0.25 s later.
-const FIRST_ANSWER: Duration = Duration::from_millis(1_500);
+const FIRST_ANSWER_TIMEOUT: Duration = Duration::from_millis(1_500);
 
 /// A run that is assumed to be running on a worker that is out of contact.
 #[derive(Clone, Debug)]
-struct UnheardRun {
+struct LostContactRun {
     worker: WorkerId,
     run: RunId,
     /// When the worker last answered, or, if it never did, when this leader started to poll it.
@@ -67,14 +67,14 @@
 #[derive(Debug, Default)]
 pub(super) struct WaitTracker {
     /// Time of the first scan by this leader, which has read the entire ledger by then.
-    first_look: Option<CoreTime>,
-    next_look: CoreTime,
-    lost_contact: BTreeMap<TaskKey, UnheardRun>,
+    first_scan: Option<CoreTime>,
+    next_scan: CoreTime,
+    lost_contact: BTreeMap<TaskKey, LostContactRun>,
     pub(super) ended: BTreeMap<TaskKey, EndedRun>,
 }
 
 /// Why a run on a worker that is out of contact is assumed to be running.
-struct Belief {
+struct AssumedRun {
     reason: WaitReason,
     /// Time from which on the run is no longer assumed to be running, even without contact; `None` if that is
     /// not known.
@@ -101,8 +101,8 @@
         run: RunId,
         now: CoreTime,
     ) -> String {
-        let is_meant = |lost_contact: &UnheardRun| lost_contact.run == run;
-        if !self.lost_contact.get(task).is_some_and(is_meant) {
+        let is_same_run = |lost_contact: &LostContactRun| lost_contact.run == run;
+        if !self.lost_contact.get(task).is_some_and(is_same_run) {
             return String::new();
         }
         let lost_contact = self.lost_contact.remove(task);
@@ -160,7 +160,7 @@
     }
 
     /// Returns the log text on where a run is assumed to be running, and what is known about the worker.
-    fn unheard_text(&self, now: CoreTime, since: CoreTime) -> String {
+    fn lost_contact_text(&self, now: CoreTime, since: CoreTime) -> String {
         let address = match self.entry.address.as_str() {
             "" => "address not known",
             address => address,
@@ -173,8 +173,8 @@
             }
             (false, None) => "entry never seen by this leader".to_owned(),
         };
-        let silent = rounded(now.saturating_sub(since));
-        let heard = if self.last_contact.is_some() {
+        let without_contact = rounded(now.saturating_sub(since));
+        let contact_text = if self.last_contact.is_some() {
             "silent for"
         } else {
             "not heard since this leader began, for"
@@ -184,7 +184,7 @@
         } else {
             ""
         };
-        format!("{address}, {entry}, {heard} {silent:?}{port}")
+        format!("{address}, {entry}, {contact_text} {without_contact:?}{port}")
     }
 }
 
@@ -201,17 +201,17 @@
         let Some(lead) = self.lead.as_deref_mut() else {
             return;
         };
-        let sight = &mut lead.wait_tracker;
-        if now < sight.next_look {
+        let tracker = &mut lead.wait_tracker;
+        if now < tracker.next_scan {
             return;
         }
-        let waiting = sight.lost_contact.len() + sight.ended.len();
-        sight.next_look = now + LOOK_PACE + LOOK_EACH * waiting as u32;
-        if sight.first_look.is_none() {
-            sight.first_look = Some(now);
+        let waiting = tracker.lost_contact.len() + tracker.ended.len();
+        tracker.next_scan = now + SCAN_INTERVAL + SCAN_INTERVAL_PER_TASK * waiting as u32;
+        if tracker.first_scan.is_none() {
+            tracker.first_scan = Some(now);
             self.adopt_ended();
         }
-        self.watch_unheard();
+        self.track_lost_contact();
         self.track_restart_waits();
     }
 
@@ -241,12 +241,12 @@
         }
     }
 
-    fn watch_unheard(&mut self) {
+    fn track_lost_contact(&mut self) {
         let now = self.now;
         let Some(lead) = self.lead.as_deref() else {
             return;
         };
-        let found = self.find_unheard(lead);
+        let found = self.find_lost_contact(lead);
         let Some(lead) = self.lead.as_deref_mut() else {
             return;
         };
@@ -258,72 +258,76 @@
                 began.push((*task, lost_contact.clone(), *until));
             }
         }
-        let is_over = |(task, old): &(TaskKey, UnheardRun)| {
-            let still = found.get(task);
-            still.is_none_or(|(lost_contact, _)| lost_contact.run != old.run)
+        let is_finished = |(task, old): &(TaskKey, LostContactRun)| {
+            let current = found.get(task);
+            current.is_none_or(|(lost_contact, _)| lost_contact.run != old.run)
         };
-        let over: Vec<(TaskKey, UnheardRun)> = before.into_iter().filter(is_over).collect();
+        let finished: Vec<(TaskKey, LostContactRun)> =
+            before.into_iter().filter(is_finished).collect();
         lead.wait_tracker.lost_contact = found
             .into_iter()
             .map(|(task, (lost_contact, _))| (task, lost_contact))
             .collect();
         for (task, lost_contact, until) in began {
             if self.log_budget.may_log(now, "runs", "unheard") {
-                let detail = self.unheard_text(&lost_contact, until);
+                let detail = self.lost_contact_text(&lost_contact, until);
                 self.log("runs", "unheard", task.to_string(), detail);
             }
         }
-        for (task, lost_contact) in over {
-            self.tell_heard(task, &lost_contact);
+        for (task, lost_contact) in finished {
+            self.log_wait_ended(task, &lost_contact);
         }
     }
 
     /// Returns tasks that wait for workers that are out of contact, and when the wait ends even without
     /// contact.
-    fn find_unheard(&self, lead: &LeadState) -> BTreeMap<TaskKey, (UnheardRun, Option<CoreTime>)> {
+    fn find_lost_contact(
+        &self,
+        lead: &LeadState,
+    ) -> BTreeMap<TaskKey, (LostContactRun, Option<CoreTime>)> {
         let now = self.now;
         let mut found = BTreeMap::new();
-        let mut patience = None;
+        let mut timeout = None;
         for (id, state) in lead.worker_states.iter() {
-            let Some(since) = self.unheard_since(lead, state) else {
+            let Some(since) = self.out_of_contact_since(lead, state) else {
                 continue;
             };
-            let patience = *patience.get_or_insert_with(|| self.unresponsive_timeout(lead));
+            let timeout = *timeout.get_or_insert_with(|| self.unresponsive_timeout(lead));
             for (task, live) in &state.runs {
                 let waits = live.phase != RunPhase::Proposed && self.awaits_end(*task, live.run);
                 if !waits {
                     continue;
                 }
-                let belief = self.belief_of(id, state, live, patience);
+                let assumed = self.assumed_run(id, state, live, timeout);
                 // The run is about to be declared lost: its log line names the reason waited for until now.
                 let before = lead.wait_tracker.lost_contact.get(task);
-                let over = belief.until.is_some_and(|until| until <= now);
-                let ends = over && belief.reason != WaitReason::Unconfirmed;
+                let expired = assumed.until.is_some_and(|until| until <= now);
+                let ends = expired && assumed.reason != WaitReason::Unconfirmed;
                 let reason = match before {
                     Some(before) if ends => before.reason,
-                    _ => belief.reason,
+                    _ => assumed.reason,
                 };
-                let lost_contact = UnheardRun {
+                let lost_contact = LostContactRun {
                     worker: id.clone(),
                     run: live.run,
                     since,
                     reason,
                 };
-                found.insert(*task, (lost_contact, belief.until));
+                found.insert(*task, (lost_contact, assumed.until));
             }
         }
         found
     }
 
     /// Returns since when a worker with runs is out of contact, or `None` if it is in contact.
-    fn unheard_since(&self, lead: &LeadState, state: &WorkerState) -> Option<CoreTime> {
+    fn out_of_contact_since(&self, lead: &LeadState, state: &WorkerState) -> Option<CoreTime> {
         if state.runs.is_empty() {
             return None;
         }
-        let began = lead.wait_tracker.first_look.unwrap_or(self.now);
+        let began = lead.wait_tracker.first_scan.unwrap_or(self.now);
         let (since, usual) = match state.last_contact {
             Some(at) => (at, UNRESPONSIVE_AFTER.max(state.poll_wait + ANSWER_SLACK)),
-            None => (began.max(state.known_at), FIRST_ANSWER),
+            None => (began.max(state.known_at), FIRST_ANSWER_TIMEOUT),
         };
         // A worker's answer may be queued behind the event that is being handled.
         let seen = self.now.saturating_sub(self.lag);
@@ -342,17 +346,17 @@
     }
 
     /// Returns why a run on a worker that is out of contact is assumed to be running, and until when.
-    fn belief_of(
+    fn assumed_run(
         &self,
         id: &WorkerId,
         state: &WorkerState,
         live: &LiveRun,
-        patience: Duration,
-    ) -> Belief {
+        timeout: Duration,
+    ) -> AssumedRun {
         let now = self.now;
-        let (hold, over_at) = if state.token_accepted {
-            let taken = state.token_accepted_at + self.former_leaders.longest_lease();
-            let former = self.former_leases_expire_at(id).min(taken);
+        let (lease_reason, expires_at) = if state.token_accepted {
+            let latest_former = state.token_accepted_at + self.former_leaders.longest_lease();
+            let former = self.former_leases_expire_at(id).min(latest_former);
             (
                 WaitReason::OwnHold,
                 state.lease_expires_at().map(|at| at.max(former)),
@@ -365,23 +369,23 @@
             };
             (reason, Some(self.former_leases_expire_at(id)))
         };
-        let patient_from = state.last_contact.unwrap_or(state.known_at);
+        let timeout_from = state.last_contact.unwrap_or(state.known_at);
         let is_waited_for = state.listed && live.may_report_success();
-        let patient_until = is_waited_for.then(|| patient_from + patience);
-        let until = over_at.map(|at| patient_until.map_or(at, |patient| at.max(patient)));
-        let over = over_at.is_some_and(|at| now > at);
+        let timeout_at = is_waited_for.then(|| timeout_from + timeout);
+        let until = expires_at.map(|at| timeout_at.map_or(at, |timeout_end| at.max(timeout_end)));
+        let expired = expires_at.is_some_and(|at| now > at);
         let reason = if !self.may_command() {
             WaitReason::Unconfirmed
-        } else if over && patient_until.is_some() {
+        } else if expired && timeout_at.is_some() {
             WaitReason::EntryListed
         } else {
-            hold
+            lease_reason
         };
-        Belief { reason, until }
+        AssumedRun { reason, until }
     }
 
     /// Returns the log text on where and why a run is assumed to be running, and what would end the wait.
-    fn unheard_text(&self, lost_contact: &UnheardRun, until: Option<CoreTime>) -> String {
+    fn lost_contact_text(&self, lost_contact: &LostContactRun, until: Option<CoreTime>) -> String {
         let now = self.now;
         let (run, worker) = (lost_contact.run, &lost_contact.worker);
         let lead = self.lead.as_deref();
@@ -390,12 +394,12 @@
         else {
             return format!("run {run} on {worker}");
         };
-        let place = state.unheard_text(now, lost_contact.since);
+        let place = state.lost_contact_text(now, lost_contact.since);
         let reason = lost_contact.reason.as_str();
         let why = self.reason_text(lead, worker, state, lost_contact.reason);
-        let unsure = lost_contact.reason == WaitReason::Unconfirmed;
+        let unconfirmed = lost_contact.reason == WaitReason::Unconfirmed;
         let end = match until.map(|until| rounded(until.saturating_sub(now))) {
-            Some(left) if unsure => {
+            Some(left) if unconfirmed => {
                 format!("once this leader is sure again, by itself in at most {left:?} from now")
             }
             Some(left) => format!("by itself in at most {left:?}"),
@@ -438,9 +442,9 @@
             }
             WaitReason::EntryListed => "its hold is over, its entry still stands".to_owned(),
             WaitReason::Unconfirmed => {
-                let unsure = rounded(self.age(lead.confirmed_at));
+                let unconfirmed = rounded(self.age(lead.confirmed_at));
                 format!(
-                    "this leader has not been sure that it leads for {unsure:?} and neither looks \
+                    "this leader has not been sure that it leads for {unconfirmed:?} and neither looks \
                      at workers nor gives any up"
                 )
             }
@@ -449,14 +453,14 @@
 
     /// Logs that a task no longer waits for a worker that was out of contact. If the run has ended, the log
     /// line on its end says so instead.
-    fn tell_heard(&mut self, task: TaskKey, lost_contact: &UnheardRun) {
+    fn log_wait_ended(&mut self, task: TaskKey, lost_contact: &LostContactRun) {
         let now = self.now;
         let (run, worker) = (lost_contact.run, &lost_contact.worker);
         let lead = self.lead.as_deref();
         let state = lead.and_then(|lead| lead.worker_states.get(worker));
-        let heard =
+        let in_contact =
             state.is_some_and(|state| state.last_contact.is_some_and(|at| at > lost_contact.since));
-        let end = if heard {
+        let end = if in_contact {
             "its worker answers"
         } else {
             "the run is not waited for any more"
--- a/crates/bankvalve_queue/src/core/restart_deadline.rs
+++ b/crates/bankvalve_queue/src/core/restart_deadline.rs
@@ -17,7 +17,7 @@
 
 /// Longest time for which a long-running task may be down: the users allow six seconds from its last run
 /// on, and three more in which none of it runs.
-const LONGEST_AWAY: Duration = Duration::from_secs(9);
+const MAX_DOWNTIME: Duration = Duration::from_secs(9);
 /// Time reserved for a start, from the decision until the worker runs the task. It takes 0.3 to 0.7 s: up
 /// to 0.25 s until waiting steps are evaluated again, two messages to the worker, and a write.
 const START_TIME: Duration = Duration::from_millis(1_200);
@@ -28,9 +28,9 @@
     /// **NOTE:** This uses the time of day, because leaders share no other clock. If that has been set back,
     /// the task counts as down for a shorter time, and its waits end by their own limits.
     pub(super) fn is_past_restart_deadline(&self, spec: &StepSpec, task: &TaskRecord) -> bool {
-        let away = self.wall.saturating_sub(task.ended_at);
+        let downtime = self.wall.saturating_sub(task.ended_at);
         let ran = task.ended_at > 0;
-        spec.lasting && ran && Duration::from_millis(away) >= LONGEST_AWAY - START_TIME
+        spec.lasting && ran && Duration::from_millis(downtime) >= MAX_DOWNTIME - START_TIME
     }
 
     /// Returns the last contact with a run whose end no run list will report, by the time of day.
@@ -46,10 +46,10 @@
         let Some(state) = state.filter(|_| lost) else {
             return self.wall;
         };
-        let silent = match state.last_contact {
+        let without_contact = match state.last_contact {
             Some(at) => self.age(at),
             None => self.age(state.known_at) + self.lease_duration(),
         };
-        self.wall.saturating_sub(silent.as_millis() as u64)
+        self.wall.saturating_sub(without_contact.as_millis() as u64)
     }
 }
--- a/crates/bankvalve_queue/src/core/restart_preparation.rs
+++ b/crates/bankvalve_queue/src/core/restart_preparation.rs
@@ -24,29 +24,29 @@
 use crate::queue_table::AdviceRule;
 
 /// Interval between two scans of long-running tasks.
-const LOOK_PACE: Duration = Duration::from_millis(50);
+const SCAN_INTERVAL: Duration = Duration::from_millis(50);
 /// Added to the interval for each task that is scanned.
-const LOOK_EACH: Duration = Duration::from_micros(20);
+const SCAN_INTERVAL_PER_TASK: Duration = Duration::from_micros(20);
 /// Added to the interval for each step that is prepared: its capacity is planned on all workers that are
 /// allowed for it.
-const PLAN_EACH: Duration = Duration::from_millis(2);
+const SCAN_INTERVAL_PER_STEP: Duration = Duration::from_millis(2);
 /// Time before a run can be declared lost at which capacity is reserved for its task: an advice request and
 /// the end of a short run take about as long.
-const KEEP_AHEAD: Duration = Duration::from_millis(1_500);
+const RESERVE_AHEAD: Duration = Duration::from_millis(1_500);
 /// Time for which capacity is reserved beyond the next scan, which renews the reservation.
-const KEEP_TIME: Duration = Duration::from_millis(600);
+const RESERVE_TIME: Duration = Duration::from_millis(600);
 /// Largest share of all capacity that is reserved for such tasks, in percent.
-const KEPT_PERCENT: u64 = 25;
+const MAX_RESERVED_PERCENT: u64 = 25;
 /// Allowed workers that are wanted for each task.
-const GOOD_PER_TASK: usize = 2;
+const ALLOWED_PER_TASK: usize = 2;
 /// Allowed workers that are wanted in addition, for each step.
-const GOOD_SPARE: usize = 4;
+const ALLOWED_SPARE: usize = 4;
 /// Workers in an advice request for each allowed worker that is missing.
-const ASK_PER_GOOD: usize = 4;
+const ADVICE_PER_MISSING: usize = 4;
 /// Fewest workers in an advice request.
-const ASK_LEAST: usize = 16;
+const MIN_ADVICE_WORKERS: usize = 16;
 /// Most workers in an advice request.
-const ASK_MOST: usize = 100;
+const MAX_ADVICE_WORKERS: usize = 100;
 
 /// A step with long-running tasks that are down or soon will be.
 #[derive(Clone, Debug, Default)]
@@ -58,16 +58,16 @@
     /// Number of tasks that are expected to need it later.
     later: usize,
     /// What is prepared for them.
-    ready: ReadyCounts,
+    prepared: PreparedCounts,
 }
 
 /// Numbers of what is prepared for a step's tasks.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-struct ReadyCounts {
+struct PreparedCounts {
     /// Workers that the policy service allows and that may take a task.
-    good: usize,
+    allowed: usize,
     /// Reservations.
-    kept: usize,
+    reservations: usize,
     /// Reservations whose capacity is free already.
     free: usize,
     /// Reservations with a valid permit.
@@ -82,16 +82,16 @@
 
     /// Returns whether capacity is reserved but none of it is free yet.
     pub(super) fn awaits_capacity(&self) -> bool {
-        self.ready.kept > 0 && self.ready.free == 0
+        self.prepared.reservations > 0 && self.prepared.free == 0
     }
 }
 
 /// Whether a long-running task needs a restart.
-enum Standing {
+enum RestartStatus {
     /// It runs, or its start is in progress.
-    Runs,
+    Running,
     /// Its worker does not respond, but it is too early to reserve capacity.
-    Silent,
+    Unresponsive,
     /// It is down, or its run can be declared lost soon.
     Due,
 }
@@ -100,84 +100,90 @@
     /// Prepares permits and capacity for long-running tasks whose runs have ended or soon will.
     pub(super) fn prepare_restarts(&mut self) {
         let now = self.now;
-        let may_look = self.may_command() && self.enforces(SiteGuard::ReadyReturn);
+        let may_prepare = self.may_command() && self.enforces(SiteGuard::ReadyReturn);
         let Some(lead) = self.lead.as_deref_mut() else {
             return;
         };
-        if now < lead.next_restart_preparation || !lead.workers_known || !may_look {
+        if now < lead.next_restart_preparation || !lead.workers_known || !may_prepare {
             return;
         }
         let Some(lead) = self.lead.as_deref() else {
             return;
         };
-        let patience = self.unresponsive_timeout(lead);
+        let timeout = self.unresponsive_timeout(lead);
         let mut tasks = 0;
         let mut restarting = BTreeMap::new();
         for key in &lead.lasting_steps {
-            let (looked_at, step) = self.returning_step(lead, *key, patience);
-            tasks += looked_at;
+            let (scanned, step) = self.restarting_step(lead, *key, timeout);
+            tasks += scanned;
             restarting.extend(step.map(|step| (*key, step)));
         }
         let Some(lead) = self.lead.as_deref_mut() else {
             return;
         };
         let steps = restarting.len() as u32;
-        lead.next_restart_preparation = now + LOOK_PACE + LOOK_EACH * tasks + PLAN_EACH * steps;
+        lead.next_restart_preparation =
+            now + SCAN_INTERVAL + SCAN_INTERVAL_PER_TASK * tasks + SCAN_INTERVAL_PER_STEP * steps;
         let mut by_age: Vec<(u64, StepKey)> = restarting
             .iter()
             .map(|(key, step)| (step.since, *key))
             .collect();
         by_age.sort_unstable();
         let before = std::mem::replace(&mut lead.restarting, restarting);
-        let over = before.keys();
-        let over = over.filter(|key| !lead.restarting.contains_key(key));
-        for key in over {
+        let finished = before.keys();
+        let finished = finished.filter(|key| !lead.restarting.contains_key(key));
+        for key in finished {
             for state in lead.worker_states.values_mut() {
                 state.drop_reservation(*key, now);
             }
         }
-        let mut budget = self.room_to_keep();
+        let mut budget = self.reservable_millicores();
         for (_, key) in by_age {
-            let ready = self.prepare_step(key, &mut budget);
-            let known = before.get(&key).map(|step| step.ready);
-            self.note_ready(key, known, ready);
+            let prepared = self.prepare_step(key, &mut budget);
+            let last_prepared = before.get(&key).map(|step| step.prepared);
+            self.record_prepared(key, last_prepared, prepared);
         }
     }
 
     /// Records what is prepared for a step, and logs changes.
-    fn note_ready(&mut self, key: StepKey, before: Option<ReadyCounts>, ready: ReadyCounts) {
+    fn record_prepared(
+        &mut self,
+        key: StepKey,
+        before: Option<PreparedCounts>,
+        prepared: PreparedCounts,
+    ) {
         let Some(lead) = self.lead.as_deref_mut() else {
             return;
         };
         let Some(step) = lead.restarting.get_mut(&key) else {
             return;
         };
-        step.ready = ready;
-        if before == Some(ready) {
+        step.prepared = prepared;
+        if before == Some(prepared) {
             return;
         }
         let (due, later) = (step.due.len(), step.later);
         self.log_often("placer", "return", || {
-            let ReadyCounts {
-                good,
-                kept,
+            let PreparedCounts {
+                allowed,
+                reservations,
                 free,
                 permits,
-            } = ready;
+            } = prepared;
             let detail = format!(
-                "{due} tasks to start, {later} whose workers do not respond: {good} allowed workers known, \
-                 capacity reserved on {kept}, free on {free}, {permits} permits for them"
+                "{due} tasks to start, {later} whose workers do not respond: {allowed} allowed workers known, \
+                 capacity reserved on {reservations}, free on {free}, {permits} permits for them"
             );
             (key.to_string(), detail)
         });
     }
 
     /// Returns the number of a step's tasks that were scanned, and those that are down or soon will be.
-    fn returning_step(
+    fn restarting_step(
         &self,
         lead: &LeadState,
         key: StepKey,
-        patience: Duration,
+        timeout: Duration,
     ) -> (u32, Option<RestartingStep>) {
         let job = self.book.job(key.job);
         let job = job.filter(|job| job.outcome == JobOutcome::Open);
@@ -192,9 +198,9 @@
         for (index, task) in record.tasks.iter().enumerate() {
             let task_key = key.task(index as u32);
             let suspect = task.is_suspect() && !self.is_past_restart_deadline(spec, task);
-            match self.standing(lead, task_key, task, patience) {
-                Standing::Runs => continue,
-                Standing::Due if !suspect => step.due.push(task_key),
+            match self.restart_status(lead, task_key, task, timeout) {
+                RestartStatus::Running => continue,
+                RestartStatus::Due if !suspect => step.due.push(task_key),
                 _ => step.later += 1,
             }
             let since = match task.phase {
@@ -206,95 +212,95 @@
                 before => before.min(since),
             };
         }
-        let returns = !step.due.is_empty() || step.later > 0;
-        (record.tasks.len() as u32, returns.then_some(step))
+        let restarts = !step.due.is_empty() || step.later > 0;
+        (record.tasks.len() as u32, restarts.then_some(step))
     }
 
-    fn standing(
+    fn restart_status(
         &self,
         lead: &LeadState,
         key: TaskKey,
         task: &TaskRecord,
-        patience: Duration,
-    ) -> Standing {
+        timeout: Duration,
+    ) -> RestartStatus {
         let (worker, run) = match &task.phase {
             // A task that has never run has no downtime.
-            TaskPhase::Waiting if task.last_run > 0 => return Standing::Due,
+            TaskPhase::Waiting if task.last_run > 0 => return RestartStatus::Due,
             TaskPhase::Placed { worker, run } => (worker, *run),
-            _ => return Standing::Runs,
+            _ => return RestartStatus::Running,
         };
         let Some(state) = lead.worker_states.get(worker) else {
-            return Standing::Silent;
+            return RestartStatus::Unresponsive;
         };
         if state.runs.get(&key).is_none_or(|live| live.run != run) {
             // The run was declared lost, but its end is not committed yet.
-            return Standing::Due;
+            return RestartStatus::Due;
         }
-        let silent = self.age(state.last_contact.unwrap_or(state.known_at));
-        if silent < UNRESPONSIVE_AFTER.max(state.usual_response_gap()) && !state.refused {
-            return Standing::Runs;
+        let without_contact = self.age(state.last_contact.unwrap_or(state.known_at));
+        if without_contact < UNRESPONSIVE_AFTER.max(state.usual_response_gap()) && !state.refused {
+            return RestartStatus::Running;
         }
         let lease_left = if state.token_accepted {
             state.lease_left(self.now)
         } else {
-            self.lease_duration().saturating_sub(silent)
+            self.lease_duration().saturating_sub(without_contact)
         };
         let listed_left = if state.listed && !state.refused {
-            patience.saturating_sub(silent)
+            timeout.saturating_sub(without_contact)
         } else {
             Duration::ZERO
         };
-        if lease_left.max(listed_left) <= KEEP_AHEAD {
-            Standing::Due
+        if lease_left.max(listed_left) <= RESERVE_AHEAD {
+            RestartStatus::Due
         } else {
-            Standing::Silent
+            RestartStatus::Unresponsive
         }
     }
 
     /// Returns the capacity that may be reserved for long-running tasks, in millicores.
-    fn room_to_keep(&self) -> u64 {
+    fn reservable_millicores(&self) -> u64 {
         let now = self.now;
         let lead = self.lead.as_deref();
         let worker_states = lead
             .into_iter()
             .flat_map(|lead| lead.worker_states.values());
-        let lively = worker_states.filter(|state| state.is_responsive(now));
-        let all: u64 = lively.map(|state| state.entry.room.millicores).sum();
-        all * KEPT_PERCENT / 100
+        let responsive = worker_states.filter(|state| state.is_responsive(now));
+        let all: u64 = responsive.map(|state| state.entry.room.millicores).sum();
+        all * MAX_RESERVED_PERCENT / 100
     }
 
     /// Requests what a step's start needs, and reserves capacity for it.
-    fn prepare_step(&mut self, key: StepKey, budget: &mut u64) -> ReadyCounts {
-        let mut ready = ReadyCounts::default();
+    fn prepare_step(&mut self, key: StepKey, budget: &mut u64) -> PreparedCounts {
+        let mut prepared = PreparedCounts::default();
         let Some(lead) = self.lead.as_deref() else {
-            return ready;
+            return prepared;
         };
         let Some(restarting) = lead.restarting.get(&key) else {
-            return ready;
+            return prepared;
         };
         let wanted = restarting.due.len() + restarting.later;
         let tasks = restarting.due.clone();
         let Some(step) = self.due_step(key, tasks) else {
-            return ready;
+            return prepared;
         };
         if let Some(rule) = step.rule {
-            ready.good = self.ask_ahead(&step, rule, wanted);
+            prepared.allowed = self.request_advice_ahead(&step, rule, wanted);
         }
         let share = *budget / step.resources.millicores.max(1);
         let most = step.tasks.len().min(share as usize);
-        let plans = self.keep_for_return(&step, most);
+        let plans = self.reserve_for_restart(&step, most);
         *budget -= step.resources.millicores * plans.len() as u64;
-        ready.kept = plans.len();
-        ready.free = plans.iter().filter(|plan| plan.after().is_zero()).count();
+        prepared.reservations = plans.len();
+        prepared.free = plans.iter().filter(|plan| plan.after().is_zero()).count();
         if let Some(rule) = step.rule.filter(|_| !self.store_is_unavailable()) {
-            self.renew_ahead(&step, rule, &plans);
+            self.renew_permits_ahead(&step, rule, &plans);
         }
-        ready.permits = self.permits_for(&step, &plans);
-        ready
+        prepared.permits = self.count_permits(&step, &plans);
+        prepared
     }
 
     /// Returns the number of plans for whose workers there is a permit that is valid long enough for a start.
-    fn permits_for(&self, step: &StepToPlace, plans: &[CapacityPlan]) -> usize {
+    fn count_permits(&self, step: &StepToPlace, plans: &[CapacityPlan]) -> usize {
         let lead = self.lead.as_deref();
         let Some((lead, advice)) = lead.and_then(|lead| Some((lead, lead.advice.get(&step.key)?)))
         else {
@@ -309,45 +315,50 @@
 
     /// Requests advice about workers, with free capacity or without, until enough allowed ones are known.
     /// Returns how many are known.
-    fn ask_ahead(&mut self, step: &StepToPlace, rule: AdviceRule, tasks: usize) -> usize {
+    fn request_advice_ahead(
+        &mut self,
+        step: &StepToPlace,
+        rule: AdviceRule,
+        tasks: usize,
+    ) -> usize {
         let now = self.now;
         let Some(lead) = self.lead.as_deref() else {
             return 0;
         };
         let empty = StepAdvice::default();
         let advice = lead.advice.get(&step.key).unwrap_or(&empty);
-        let takes = |id: &WorkerId, state: &WorkerState| {
+        let may_take = |id: &WorkerId, state: &WorkerState| {
             is_eligible((id, state), step, now) && tasks_on(state, step.key) < step.worker_limit()
         };
-        let good = advice.good().filter(|id| {
+        let allowed = advice.good().filter(|id| {
             lead.worker_states
                 .get(id)
-                .is_some_and(|state| takes(id, state))
+                .is_some_and(|state| may_take(id, state))
         });
-        let good = good.count();
-        let missing = (tasks * GOOD_PER_TASK + GOOD_SPARE).saturating_sub(good);
+        let allowed = allowed.count();
+        let missing = (tasks * ALLOWED_PER_TASK + ALLOWED_SPARE).saturating_sub(allowed);
         if missing == 0 || advice.explores() || !advice.may_retry(now) {
-            return good;
+            return allowed;
         }
         let unknown = lead.worker_states.iter();
-        let unknown = unknown.filter(|(id, state)| !advice.is_known(id) && takes(id, state));
+        let unknown = unknown.filter(|(id, state)| !advice.is_known(id) && may_take(id, state));
         let unknown: Vec<(&WorkerId, &WorkerState)> = unknown.collect();
-        let count = (missing * ASK_PER_GOOD).clamp(ASK_LEAST, ASK_MOST);
-        let question = workers_with_most_free(step, &unknown, count, now);
-        if !question.is_empty() {
-            self.request_advice(step.key, rule, &question);
+        let count = (missing * ADVICE_PER_MISSING).clamp(MIN_ADVICE_WORKERS, MAX_ADVICE_WORKERS);
+        let workers_to_ask = workers_with_most_free(step, &unknown, count, now);
+        if !workers_to_ask.is_empty() {
+            self.request_advice(step.key, rule, &workers_to_ask);
         }
-        good
+        allowed
     }
 
     /// Reserves capacity for a number of tasks of a step on allowed workers, where it is free soonest.
-    fn keep_for_return(&mut self, step: &StepToPlace, tasks: usize) -> Vec<CapacityPlan> {
+    fn reserve_for_restart(&mut self, step: &StepToPlace, tasks: usize) -> Vec<CapacityPlan> {
         let now = self.now;
         let plans = self.plan_restart(step, tasks);
         let Some(lead) = self.lead.as_deref_mut() else {
             return Vec::new();
         };
-        let until = lead.next_restart_preparation + KEEP_TIME;
+        let until = lead.next_restart_preparation + RESERVE_TIME;
         for state in lead.worker_states.values_mut() {
             state.drop_reservation(step.key, now);
         }
@@ -358,7 +369,7 @@
             if let Some(state) = lead.worker_states.get_mut(plan.worker()) {
                 state
                     .reserved
-                    .retain(|kept| restarting.contains(&kept.step));
+                    .retain(|reservation| restarting.contains(&reservation.step));
             }
         }
         self.reserve_capacity(step, plans.iter().map(CapacityPlan::worker), until);
@@ -367,7 +378,12 @@
     }
 
     /// Renews permits for workers whose capacity becomes free at about the time when the permits arrive.
-    fn renew_ahead(&mut self, step: &StepToPlace, rule: AdviceRule, plans: &[CapacityPlan]) {
+    fn renew_permits_ahead(
+        &mut self,
+        step: &StepToPlace,
+        rule: AdviceRule,
+        plans: &[CapacityPlan],
+    ) {
         let now = self.now;
         let Some(lead) = self.lead.as_deref() else {
             return;
@@ -381,11 +397,11 @@
         let soon = |plan: &&CapacityPlan| plan.after() <= takes + lasts / 2;
         let due = |id: &&WorkerId| !advice.is_asked(id) && advice.permit(id, needed).is_none();
         let workers = plans.iter().filter(soon).map(CapacityPlan::worker);
-        let mut question: Vec<WorkerId> = workers.filter(due).cloned().collect();
-        question.sort_unstable();
-        question.dedup();
-        if !question.is_empty() && advice.may_retry(now) {
-            self.request_advice(step.key, rule, &question);
+        let mut workers_to_ask: Vec<WorkerId> = workers.filter(due).cloned().collect();
+        workers_to_ask.sort_unstable();
+        workers_to_ask.dedup();
+        if !workers_to_ask.is_empty() && advice.may_retry(now) {
+            self.request_advice(step.key, rule, &workers_to_ask);
         }
     }
 }
--- a/crates/bankvalve_queue/src/core/restart_waits.rs
+++ b/crates/bankvalve_queue/src/core/restart_waits.rs
@@ -12,7 +12,7 @@
 
 /// Time after a run's end from which on a wait for the next start is reported: about five times what an end,
 /// a placement and a start take without faults.
-const START_WAIT: Duration = Duration::from_secs(2);
+const REPORTED_WAIT: Duration = Duration::from_secs(2);
 
 impl EntryCore {
     /// Logs tasks that have waited long since their run ended, and stops tracking those that no longer wait.
@@ -23,15 +23,15 @@
         };
         let mut ended = std::mem::take(&mut lead.wait_tracker.ended);
         ended.retain(|task, ended| self.still_waits(*task, ended.run));
-        let mut most = None;
-        let mut told = Vec::new();
+        let mut largest_free = None;
+        let mut reported = Vec::new();
         for (task, ended) in &mut ended {
-            if now.saturating_sub(ended.since) < START_WAIT {
+            if now.saturating_sub(ended.since) < REPORTED_WAIT {
                 continue;
             }
-            let reason = self.start_wait(*task, &mut most);
+            let reason = self.start_wait(*task, &mut largest_free);
             if ended.reason.is_none() {
-                told.push((*task, ended.run, ended.since, reason));
+                reported.push((*task, ended.run, ended.since, reason));
             }
             ended.reason = Some(reason);
             ended.found[reason as usize] += 1;
@@ -39,7 +39,7 @@
         if let Some(lead) = self.lead.as_deref_mut() {
             lead.wait_tracker.ended = ended;
         }
-        for (task, run, since, reason) in told {
+        for (task, run, since, reason) in reported {
             self.log_often("placer", "waits", || {
                 let waited = rounded(now.saturating_sub(since));
                 let reason = reason.as_str();
@@ -61,9 +61,9 @@
             })
     }
 
-    /// Returns why a task has not started, as far as cheap checks show. `most` caches the largest free
-    /// capacity of each kind on any worker.
-    fn start_wait(&self, task: TaskKey, most: &mut Option<TaskSize>) -> StartWait {
+    /// Returns why a task has not started, as far as cheap checks show. `largest_free` caches the largest
+    /// free capacity of each kind on any worker.
+    fn start_wait(&self, task: TaskKey, largest_free: &mut Option<TaskSize>) -> StartWait {
         let now = self.now;
         let (Some(lead), Some(job)) = (self.lead.as_deref(), self.book.job(task.step.job)) else {
             return StartWait::Placing;
@@ -92,8 +92,8 @@
         if awaited || lead.capacity_claims.contains_key(&step) {
             return StartWait::RoomMade;
         }
-        let most = *most.get_or_insert_with(|| lead.max_free());
-        if spec.is_some_and(|spec| !spec.resources().fits(&most)) {
+        let largest_free = *largest_free.get_or_insert_with(|| lead.max_free());
+        if spec.is_some_and(|spec| !spec.resources().fits(&largest_free)) {
             return StartWait::NoRoom;
         }
         let permitted = |step| {
--- a/crates/bankvalve_queue/src/core/stopped_leases.rs
+++ b/crates/bankvalve_queue/src/core/stopped_leases.rs
@@ -26,53 +26,53 @@
 /// Time without contact after which the ledger records that the lease of a worker with runs is no longer
 /// renewed, if the worker's port refuses connections or its entry is gone. It is slightly longer than the
 /// time in which polls still renew the lease.
-const STOP_AFTER: Duration = Duration::from_millis(1_700);
+const STOP_IF_LOST_AFTER: Duration = Duration::from_millis(1_700);
 /// Such a time if there is no other sign of a loss: a poll that waits, 1.5 s without contact, and a poll that
 /// times out meanwhile. With a shorter time, a worker that does not respond for a moment, just before the
 /// table becomes slow or unavailable, would lose its runs, because resuming its lease could not be committed.
-const STOP_AFTER_SILENCE: Duration = Duration::from_millis(3_400);
+const STOP_IF_UNRESPONSIVE_AFTER: Duration = Duration::from_millis(3_400);
 /// Added to the usual time between answers of a worker whose polls wait longer.
-const LOOK_PROLONGS: Duration = Duration::from_millis(100);
+const RESPONSE_GAP_SLACK: Duration = Duration::from_millis(100);
 /// Age of the last confirmation of leadership up to which the table is assumed to answer: one request of an
 /// idle leader, and one slow request.
-const TABLE_ANSWERS: Duration = Duration::from_millis(1_500);
+const TABLE_ANSWERS_WITHIN: Duration = Duration::from_millis(1_500);
 /// Unanswered polls after which the same is recorded for a worker that never answered this leader.
-const STOP_UNANSWERED: u32 = 2;
+const STOP_AFTER_UNANSWERED: u32 = 2;
 /// Difference by which a lease must expire sooner than recorded to be recorded again, for the next leader. A
 /// recorded time can be too late: if a former leader sends heartbeats again, its end becomes known.
-const KEPT_ANEW: Duration = Duration::from_secs(1);
+const RERECORD_DIFFERENCE: Duration = Duration::from_secs(1);
 /// Divisor of the number of workers with runs that gives how many of them may be unresponsive at once. If
 /// more are, nothing is recorded: the cause is the leader's own link or CPU, and each of them would cost two
 /// events.
-const COMMON_SHARE: usize = 2;
+const LEADER_FAULT_DIVISOR: usize = 2;
 /// Smallest number of unresponsive workers with runs for which nothing is recorded.
-const COMMON_LEAST: usize = 4;
+const MIN_LEADER_FAULT: usize = 4;
 
 /// A lease that is no longer renewed.
 #[derive(Clone, Copy, Debug)]
-struct StoppedHold {
+struct StoppedLease {
     /// Time by which it has expired.
-    over_at: CoreTime,
+    expires_at: CoreTime,
     /// When this instance learned of it. The worker had been out of contact for some time before.
     known_at: CoreTime,
 }
 
 /// Workers whose leases are not renewed.
 #[derive(Debug, Default)]
-pub(super) struct StoppedLeases(BTreeMap<WorkerId, StoppedHold>);
+pub(super) struct StoppedLeases(BTreeMap<WorkerId, StoppedLease>);
 
 impl StoppedLeases {
     /// Returns the time by which a worker's lease has expired, if it is no longer renewed.
-    pub(super) fn over_at(&self, worker: &WorkerId) -> Option<CoreTime> {
-        self.0.get(worker).map(|hold| hold.over_at)
+    pub(super) fn expires_at(&self, worker: &WorkerId) -> Option<CoreTime> {
+        self.0.get(worker).map(|lease| lease.expires_at)
     }
 
     /// Returns a time since which a worker has been out of contact, if its lease is no longer renewed.
     pub(super) fn unresponsive_since(&self, worker: &WorkerId) -> Option<CoreTime> {
-        self.0.get(worker).map(|hold| hold.known_at)
+        self.0.get(worker).map(|lease| lease.known_at)
     }
 
-    /// Returns whether a worker's lease may be renewed according to the ledger.
+    /// Returns whether renewing a worker's lease is stopped according to the ledger.
     pub(super) fn state_of(&self, worker: &WorkerId) -> LeaseStop {
         match self.0.contains_key(worker) {
             true => LeaseStop::Stopped,
@@ -94,13 +94,13 @@
             // enough.
             LedgerEvent::HoldStopped { worker, over_ms } => {
                 let now = self.now;
-                let over_at = now + Duration::from_millis(*over_ms);
-                let hold = StoppedHold {
-                    over_at,
+                let expires_at = now + Duration::from_millis(*over_ms);
+                let lease = StoppedLease {
+                    expires_at,
                     known_at: now,
                 };
-                let kept = self.stopped_leases.0.entry(worker.clone()).or_insert(hold);
-                kept.over_at = over_at;
+                let recorded = self.stopped_leases.0.entry(worker.clone()).or_insert(lease);
+                recorded.expires_at = expires_at;
             }
             LedgerEvent::HoldResumed { worker } => {
                 self.stopped_leases.0.remove(worker);
@@ -113,11 +113,16 @@
     pub(super) fn former_leases_expire_at(&self, worker: &WorkerId) -> CoreTime {
         let former = self.former_leaders.leases_expire_at();
         let began_at = self.lead.as_deref().map(|lead| lead.began_at);
-        let own = |hold: &&StoppedHold| began_at.is_some_and(|began_at| hold.known_at >= began_at);
+        let own =
+            |lease: &&StoppedLease| began_at.is_some_and(|began_at| lease.known_at >= began_at);
         // A record by this leader itself contains what it assumed then. It may know more now.
-        let told = self.stopped_leases.0.get(worker).filter(|hold| !own(hold));
-        match told.map(|hold| hold.over_at) {
-            Some(at) if self.former_leaders.may_lack_some(self.now) => at,
+        let record = self
+            .stopped_leases
+            .0
+            .get(worker)
+            .filter(|lease| !own(lease));
+        match record.map(|lease| lease.expires_at) {
+            Some(at) if self.former_leaders.may_miss_leaders(self.now) => at,
             Some(at) if self.enforces(SiteGuard::KnownHolds) => at.min(former),
             _ => former,
         }
@@ -135,20 +140,21 @@
         let Some(lead) = self.lead.as_deref() else {
             return;
         };
-        let silent = |(_, state): &(&WorkerId, &WorkerState)| is_unresponsive(state, seen);
+        let unresponsive = |(_, state): &(&WorkerId, &WorkerState)| is_unresponsive(state, seen);
         let workers: Vec<WorkerId> = lead
             .worker_states
             .iter()
-            .filter(silent)
+            .filter(unresponsive)
             .map(|(id, _)| id.clone())
             .collect();
         let due: Vec<(WorkerId, u64)> = workers
             .iter()
-            .filter_map(|id| self.hold_to_stop(lead, id))
+            .filter_map(|id| self.lease_to_stop(lead, id))
             .collect();
         // If this cannot be committed now, neither could resuming the lease once the worker answers.
-        let answers = self.age(lead.confirmed_at) < TABLE_ANSWERS && !self.store_is_unavailable();
-        if due.is_empty() || !answers || is_common(lead, workers.len()) {
+        let answers =
+            self.age(lead.confirmed_at) < TABLE_ANSWERS_WITHIN && !self.store_is_unavailable();
+        if due.is_empty() || !answers || is_leader_fault(lead, workers.len()) {
             return;
         }
         for (worker, over_ms) in due {
@@ -162,14 +168,15 @@
         }
     }
 
-    /// Returns the time after which an unresponsive worker's lease has expired, if it must be recorded.
-    fn hold_to_stop(&self, lead: &LeadState, id: &WorkerId) -> Option<(WorkerId, u64)> {
+    /// Returns an unresponsive worker and the milliseconds until its lease has expired, if that is to be
+    /// recorded.
+    fn lease_to_stop(&self, lead: &LeadState, id: &WorkerId) -> Option<(WorkerId, u64)> {
         let state = lead.worker_states.get(id)?;
         let own = state.lease_left(self.now).mul_f64(SLOW_CLOCK_FACTOR);
         let former = self.former_leases_expire_at(id).saturating_sub(self.now);
         let left = own.max(former);
-        let kept = self.stopped_leases.over_at(id);
-        let sooner = kept.is_some_and(|at| self.now + left + KEPT_ANEW < at);
+        let recorded = self.stopped_leases.expires_at(id);
+        let sooner = recorded.is_some_and(|at| self.now + left + RERECORD_DIFFERENCE < at);
         let due = match state.lease_stop {
             LeaseStop::None => true,
             LeaseStop::Stopped => sooner && !state.token_accepted,
@@ -181,12 +188,12 @@
     /// Proposes that the lease of a worker that has answered is renewed again, if it was stopped. It may be
     /// renewed once that is committed.
     pub(super) fn request_lease_renewal(&mut self, id: &WorkerId) {
-        let kept_first = self.enforces(SiteGuard::ResumeKept);
+        let commit_first = self.enforces(SiteGuard::ResumeKept);
         let state = self.worker_state_mut(id);
         let Some(state) = state.filter(|state| state.lease_stop == LeaseStop::Stopped) else {
             return;
         };
-        state.lease_stop = match kept_first {
+        state.lease_stop = match commit_first {
             true => LeaseStop::Resuming,
             false => LeaseStop::None,
         };
@@ -223,20 +230,24 @@
 /// Returns whether a worker with runs has been out of contact for so long that its lease is not renewed.
 fn is_unresponsive(state: &WorkerState, seen: CoreTime) -> bool {
     let since = state.last_contact.unwrap_or(state.known_at);
-    let asked = state.token_accepted
+    let polled = state.token_accepted
         || state.entry.address.is_empty()
-        || state.unanswered >= STOP_UNANSWERED;
+        || state.unanswered >= STOP_AFTER_UNANSWERED;
     let lost = state.refused || !state.listed;
-    let least = if lost { STOP_AFTER } else { STOP_AFTER_SILENCE };
-    let usual = least.max(state.usual_response_gap() + LOOK_PROLONGS);
-    !state.runs.is_empty() && asked && seen.saturating_sub(since) >= usual
+    let least = if lost {
+        STOP_IF_LOST_AFTER
+    } else {
+        STOP_IF_UNRESPONSIVE_AFTER
+    };
+    let usual = least.max(state.usual_response_gap() + RESPONSE_GAP_SLACK);
+    !state.runs.is_empty() && polled && seen.saturating_sub(since) >= usual
 }
 
 /// Returns whether so many workers are unresponsive that the cause is the leader itself.
-fn is_common(lead: &LeadState, silent: usize) -> bool {
+fn is_leader_fault(lead: &LeadState, unresponsive: usize) -> bool {
     let busy = lead
         .worker_states
         .values()
         .filter(|state| !state.runs.is_empty());
-    silent >= COMMON_LEAST && silent * COMMON_SHARE > busy.count()
+    unresponsive >= MIN_LEADER_FAULT && unresponsive * LEADER_FAULT_DIVISOR > busy.count()
 }
--- a/crates/bankvalve_queue/src/core/suspects.rs
+++ b/crates/bankvalve_queue/src/core/suspects.rs
@@ -12,11 +12,12 @@
 //! lost. So during a mass loss the same end weighs less, and it weighs least if other workers were lost
 //! at that moment.
 //!
-//! Trial runs take at most one worker in eight at once, or one in four with the workers that have just
-//! ended under one. A gang's suspects start together, so they may take more. A suspect that has waited
-//! too long for its start or for a free worker starts beside other runs. After a second end it starts
-//! only beside runs that are not new, where an end is as strong evidence. A long-running task waits only
-//! until [`is_past_restart_deadline`](EntryCore::is_past_restart_deadline) returns true, which counts all of its waits.
+//! Trial runs take at most one worker in eight at once, or one in four with the workers that have just ended
+//! under one. A gang's suspects start together, so they may take more. A suspect that has waited too long for
+//! its start or for a free worker starts beside other runs. After a second end it starts only beside runs
+//! that are not new, where an end is as strong evidence. A long-running task waits only until
+//! [`is_past_restart_deadline`](EntryCore::is_past_restart_deadline) returns true, which counts all of its
+//! waits.
 
 use std::time::Duration;
 
@@ -33,50 +34,51 @@
 
 /// Time from a start order within which the port of a worker that its task crashes usually refuses
 /// connections. An end within it is an early crash.
-const YOUNG_LIFE: Duration = Duration::from_secs(1);
+const EARLY_CRASH_AGE: Duration = Duration::from_secs(1);
 /// Longest time from a start order to the first refused connection for an end that may be proof, unless
 /// an earlier run ended at the same age.
-const PROOF_LIFE: Duration = Duration::from_secs(2);
+const MAX_PROOF_AGE: Duration = Duration::from_secs(2);
 /// Longest span, in milliseconds, in which the ages of two runs at their ends count as the same age.
-const AGAIN_SPAN_MS: u32 = 1_000;
+const SAME_AGE_SPAN_MS: u32 = 1_000;
 /// Time for which a port must have refused connections before the evidence is committed: by then, the
 /// leader has seen which other workers were lost at the same time.
-const SEEN_TIME: Duration = Duration::from_millis(400);
+const EVIDENCE_DELAY: Duration = Duration::from_millis(400);
 /// Age from which on a run is not related to its worker's end: a task that runs for weeks is present when
 /// some workers end.
-const LONG_LIFE: Duration = Duration::from_secs(30);
+const UNRELATED_AGE: Duration = Duration::from_secs(30);
 /// Divisor of the number of workers that gives the number of concurrent trial runs, at least one.
-const TRIAL_SHARE: usize = 8;
+const TRIAL_DIVISOR: usize = 8;
 /// Divisor for the same limit that includes workers which have ended under a suspect and are not declared
 /// lost yet; the result is at least two.
-const HELD_SHARE: usize = 4;
+const OCCUPIED_DIVISOR: usize = 4;
 /// Longest wait for a free worker and an allowed start before a suspect starts beside other runs, if it
 /// was present at several ends without an early crash. Callers are told after three seconds that nothing
 /// runs although there is capacity.
-const WEAK_PATIENCE: Duration = Duration::from_millis(2_000);
-/// Longest such wait of a suspect with an early crash.
-const YOUNG_PATIENCE: Duration = Duration::from_secs(8);
+const WEAK_MAX_WAIT: Duration = Duration::from_millis(2_000);
+/// Longest such wait of a suspect with an early crash. After twice this time, a suspect that need not be
+/// isolated starts beside any other runs.
+const EARLY_MAX_WAIT: Duration = Duration::from_secs(8);
 /// Time before and after a worker's end within which other losses count as simultaneous, as when a rack or
 /// a failure domain fails or the network is cut. The leader notices refusing ports within it.
-const COMMON_TIME: Duration = Duration::from_millis(200);
+const SIMULTANEOUS_WINDOW: Duration = Duration::from_millis(200);
 /// Time without many losses that must precede a trial run whose end may be proof.
-const CALM_TIME: Duration = Duration::from_secs(1);
-/// Divisor of the number of workers that gives the number of losses, at least one, within that time from
-/// which on no such trial run starts.
-const COMMON_SHARE: usize = 100;
+const QUIET_TIME: Duration = Duration::from_secs(1);
+/// Divisor of the number of workers that gives the number of losses, at least one, within [`QUIET_TIME`]
+/// from which on no such trial run starts.
+const QUIET_LOSS_DIVISOR: usize = 100;
 /// Divisor of the number of workers that gives the number of simultaneous losses of other workers from
 /// which on a mass loss is assumed, and an end right after a start is only weak evidence.
-const STORM_SHARE: usize = 20;
+const MASS_LOSS_DIVISOR: usize = 20;
 /// Smallest number of simultaneous losses of other workers that counts as a mass loss.
-const STORM_LEAST: usize = 3;
+const MIN_MASS_LOSS: usize = 3;
 /// Time over which the loss rate is calculated.
-const RATE_TIME: Duration = Duration::from_secs(30);
+const RATE_WINDOW: Duration = Duration::from_secs(30);
 /// Shortest time over which a new leader calculates the loss rate.
-const LEAST_RATE_TIME: Duration = Duration::from_secs(10);
+const MIN_RATE_WINDOW: Duration = Duration::from_secs(10);
 /// Lower limit of the estimated loss rate of one worker, per second.
-const LEAST_RATE: f64 = 0.001;
+const MIN_LOSS_RATE: f64 = 0.001;
 /// Probability of an end by chance above which the end is no proof, in parts per million.
-const PROOF_LIMIT_PPM: u32 = 50_000;
+const MAX_PROOF_CHANCE_PPM: u32 = 50_000;
 const MILLION: f64 = 1e6;
 
 /// A worker that was lost.
@@ -94,15 +96,15 @@
     /// Whether the process is known to have ended. A worker that does not respond may be cut off and still
     /// run. Unless a new process answers, its end is known only if its port refuses connections and its
     /// entry is gone.
-    is_end: bool,
+    has_ended: bool,
     /// Time by which it had ended: its port first refused a connection, or another process answered.
-    over_at: Option<CoreTime>,
-    /// Assumed time of the end: the field above, or else the latest time at which it may have been lost.
+    ended_by: Option<CoreTime>,
+    /// Assumed time of the end: `ended_by`, or else the latest time at which the worker may have been lost.
     at: CoreTime,
     /// Number of other workers that were lost at the same time.
     others: usize,
     /// Whether so many others were lost that this end is only weak evidence.
-    is_storm: bool,
+    is_mass_loss: bool,
     /// Rate at which one worker is lost by chance, per second.
     rate: f64,
 }
@@ -111,29 +113,29 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct SuspectHistory {
     /// Whether a worker ended right after the start of one of them.
-    young: bool,
+    early_crash: bool,
     /// Whether one of them must not start beside other new runs.
-    grave: bool,
+    must_isolate: bool,
     /// Whether one of the ends is proof.
     proven: bool,
     /// Whether a long-running task among them is past its restart deadline.
-    hurried: bool,
+    past_deadline: bool,
 }
 
 impl SuspectHistory {
     /// Combines the histories of tasks, each with whether it is past its restart deadline.
     pub(super) fn of<'a>(tasks: impl Iterator<Item = (&'a TaskRecord, bool)>) -> Self {
-        let mut stand = Self::default();
-        for (task, hurried) in tasks {
+        let mut history = Self::default();
+        for (task, past_deadline) in tasks {
             let Some(count) = task.crash_count() else {
                 continue;
             };
-            stand.young |= count.has_early_crash();
-            stand.grave |= count.must_be_isolated();
-            stand.proven |= count.has_proof();
-            stand.hurried |= hurried;
+            history.early_crash |= count.has_early_crash();
+            history.must_isolate |= count.must_be_isolated();
+            history.proven |= count.has_proof();
+            history.past_deadline |= past_deadline;
         }
-        stand
+        history
     }
 }
 
@@ -175,8 +177,8 @@
         if let Some(evidence) = live.crash {
             return EndKind::Crashed(evidence);
         }
-        let evidence = self.crash_of(state, loss, task, live);
-        let evidence = evidence.filter(|_| loss.is_end);
+        let evidence = self.crash_evidence(state, loss, task, live);
+        let evidence = evidence.filter(|_| loss.has_ended);
         evidence.map_or(EndKind::Lost, EndKind::Crashed)
     }
 
@@ -194,13 +196,13 @@
         let refused_for = state.refused_at.map(|at| now.saturating_sub(at));
         if state.crash_evidence_proposed
             || !state.refused
-            || refused_for.is_none_or(|time| time < SEEN_TIME)
+            || refused_for.is_none_or(|time| time < EVIDENCE_DELAY)
         {
             return;
         }
         let loss = lead.loss_of(id, state, None, now);
         let seen = |(task, live): (&TaskKey, &LiveRun)| {
-            let evidence = self.crash_of(state, &loss, task, live)?;
+            let evidence = self.crash_evidence(state, &loss, task, live)?;
             (evidence.weight != CrashWeight::Weak).then_some((*task, live.run, evidence))
         };
         let seen: Vec<(TaskKey, RunId, CrashEvidence)> =
@@ -228,25 +230,25 @@
     }
 
     /// Returns the evidence of a worker's end against a run, or `None` if the end does not count against it.
-    fn crash_of(
+    fn crash_evidence(
         &self,
         state: &WorkerState,
         loss: &LossFacts,
         task: &TaskKey,
         live: &LiveRun,
     ) -> Option<CrashEvidence> {
-        let order = loss.over_at.zip(live.ordered_at);
-        let had_ended = order.is_some_and(|(over, ordered)| over <= ordered);
+        let order = loss.ended_by.zip(live.ordered_at);
+        let had_ended = order.is_some_and(|(ended, ordered)| ended <= ordered);
         let counts = live.may_have_started()
             && !had_ended
             && !state.left_as_announced()
-            && live.known_run_time() < LONG_LIFE
+            && live.known_run_time() < UNRELATED_AGE
             && self.enforces(SiteGuard::CrashBudget);
-        counts.then(|| self.evidence_of(state, loss, task, live))
+        counts.then(|| self.build_evidence(state, loss, task, live))
     }
 
     /// Collects what was seen of a worker's end into evidence against a run.
-    fn evidence_of(
+    fn build_evidence(
         &self,
         state: &WorkerState,
         loss: &LossFacts,
@@ -259,8 +261,8 @@
         };
         let confirmed = live.is_confirmed();
         let alive_ms = live.listed_at.map_or(0, since_order);
-        let over = loss.over_at.filter(|_| live.ordered_at.is_some());
-        let over_ms = over.map(since_order);
+        let ended = loss.ended_by.filter(|_| live.ordered_at.is_some());
+        let over_ms = ended.map(since_order);
         let beside = state
             .runs
             .iter()
@@ -268,31 +270,34 @@
         let beside = beside.count();
         let job = self.book.job(task.step.job);
         let count = job.and_then(|job| job.task(*task)?.crash_count());
-        let again =
-            over_ms.and_then(|over| count.and_then(|count| count.common_age_ms(alive_ms, over)));
+        let repeat =
+            over_ms.and_then(|ended| count.and_then(|count| count.common_age_ms(alive_ms, ended)));
         let chance_ppm = over_ms.map_or(MILLION as u32, |over_ms| {
-            let span = again.map_or(over_ms, |span| span.min(over_ms));
+            let span = repeat.map_or(over_ms, |span| span.min(over_ms));
             let chance = loss.rate * Duration::from_millis(u64::from(span)).as_secs_f64();
             (chance.min(1.0) * MILLION).ceil() as u32
         });
-        let sole = beside == 0 && !loss.is_storm;
-        let guarded = self.enforces(SiteGuard::AloneEvidence);
-        let (sole, chance_ppm) = if guarded {
-            (sole, chance_ppm)
+        let only_cause = beside == 0 && !loss.is_mass_loss;
+        let enforced = self.enforces(SiteGuard::AloneEvidence);
+        let (only_cause, chance_ppm) = if enforced {
+            (only_cause, chance_ppm)
         } else {
             (true, 1)
         };
-        let within = |over: u32, life: Duration| u128::from(over) <= life.as_millis();
+        let within = |ended: u32, life: Duration| u128::from(ended) <= life.as_millis();
         // At a greater age, only if nothing else ran there and an earlier run ended at the same age.
-        let again = again.is_some_and(|span| span <= AGAIN_SPAN_MS) && state.runs.len() == 1;
-        let proof = |over: u32| {
-            sole && confirmed
-                && chance_ppm <= PROOF_LIMIT_PPM
-                && (within(over, PROOF_LIFE) || again)
+        let repeat = repeat.is_some_and(|span| span <= SAME_AGE_SPAN_MS) && state.runs.len() == 1;
+        let proof = |ended: u32| {
+            only_cause
+                && confirmed
+                && chance_ppm <= MAX_PROOF_CHANCE_PPM
+                && (within(ended, MAX_PROOF_AGE) || repeat)
         };
         let weight = match over_ms {
-            Some(over) if proof(over) => CrashWeight::Proof,
-            Some(over) if within(over, YOUNG_LIFE) && !loss.is_storm => CrashWeight::Young,
+            Some(ended) if proof(ended) => CrashWeight::Proof,
+            Some(ended) if within(ended, EARLY_CRASH_AGE) && !loss.is_mass_loss => {
+                CrashWeight::Young
+            }
             _ => CrashWeight::Weak,
         };
         CrashEvidence {
@@ -308,7 +313,7 @@
 
     /// Marks a worker as lost. Records the loss for the loss rate and for mass losses, unless the end counts
     /// against a task.
-    pub(super) fn note_worker_loss(&mut self, id: &WorkerId, held: bool) {
+    pub(super) fn note_worker_loss(&mut self, id: &WorkerId, blamed_on_task: bool) {
         let now = self.now;
         let Some(lead) = self.lead.as_deref_mut() else {
             return;
@@ -318,7 +323,10 @@
         };
         state.declared_lost = true;
         // A worker that never answered this leader was lost before this leader started.
-        if !state.token_accepted || state.is_crashed_by_task() || held || state.left_as_announced()
+        if !state.token_accepted
+            || state.is_crashed_by_task()
+            || blamed_on_task
+            || state.left_as_announced()
         {
             return;
         }
@@ -332,38 +340,40 @@
             span: state.loss_window(),
         };
         lead.worker_losses.retain(|old| {
-            let lately = now.saturating_sub(old.span.last) <= RATE_TIME;
-            lately && old.worker != loss.worker
+            let recent = now.saturating_sub(old.span.last) <= RATE_WINDOW;
+            recent && old.worker != loss.worker
         });
         lead.worker_losses.push(loss);
     }
 
     /// Returns how the suspects of a step may start now.
-    pub(super) fn trial_mode(&mut self, step: StepKey, stand: SuspectHistory) -> TrialMode {
+    pub(super) fn trial_mode(&mut self, step: StepKey, history: SuspectHistory) -> TrialMode {
         self.note_capacity_wait(step);
         let now = self.now;
         let Some(lead) = self.lead.as_deref_mut() else {
             return TrialMode::Deferred;
         };
-        lead.end_trials();
+        lead.forget_ended_trials();
         let waited = lead.capacity_waits.get(&step).copied().unwrap_or(now);
-        let patience = if stand.young {
-            YOUNG_PATIENCE
+        let max_wait = if history.early_crash {
+            EARLY_MAX_WAIT
         } else {
-            WEAK_PATIENCE
+            WEAK_MAX_WAIT
         };
         let waited = now.saturating_sub(waited);
-        let impatient = stand.hurried || waited > patience;
-        let among = stand.hurried || !stand.young || waited > patience * 2;
-        let grave = stand.grave && (stand.proven || waited <= patience * 3);
+        let waited_too_long = history.past_deadline || waited > max_wait;
+        let may_share = history.past_deadline || !history.early_crash || waited > max_wait * 2;
+        let must_isolate = history.must_isolate && (history.proven || waited <= max_wait * 3);
         // The next end may be proof. It would be no evidence while other workers are lost.
-        let calm_from = now.saturating_sub(CALM_TIME);
-        let storm = || calm_from < lead.began_at || lead.is_common(lead.lost_since(calm_from, now));
-        match (impatient, grave) {
-            (true, false) if among => TrialMode::AmongOthers,
+        let quiet_from = now.saturating_sub(QUIET_TIME);
+        let many_losses = || {
+            quiet_from < lead.began_at || lead.too_many_for_trial(lead.lost_since(quiet_from, now))
+        };
+        match (waited_too_long, must_isolate) {
+            (true, false) if may_share => TrialMode::AmongOthers,
             (true, _) => TrialMode::ApartFromNew,
-            (false, _) if !lead.has_turn_for(step) => TrialMode::Deferred,
-            (false, _) if stand.young && storm() => TrialMode::Deferred,
+            (false, _) if !lead.may_start_trial(step) => TrialMode::Deferred,
+            (false, _) if history.early_crash && many_losses() => TrialMode::Deferred,
             (false, _) => TrialMode::Isolated,
         }
     }
@@ -387,9 +397,9 @@
         let Some(lead) = self.lead.as_deref_mut() else {
             return;
         };
-        for (task, room) in due {
+        for (task, resources) in due {
             if let Some(state) = lead.worker_states.get_mut(id) {
-                state.end_trial(&task, room);
+                state.end_trial(&task, resources);
             }
             lead.placement_due = true;
         }
@@ -412,7 +422,7 @@
 
 impl LeadState {
     /// Forgets trials that have ended.
-    fn end_trials(&mut self) {
+    fn forget_ended_trials(&mut self) {
         let worker_states = &self.worker_states;
         self.trials.retain(|task, worker| {
             let live = worker_states
@@ -423,19 +433,15 @@
     }
 
     /// Returns whether the limits allow a trial run of one of a step's suspects now.
-    fn has_turn_for(&self, step: StepKey) -> bool {
+    fn may_start_trial(&self, step: StepKey) -> bool {
         let of_step = |task: &TaskKey| task.step == step;
-        let is_well = |worker: &Incarnation| {
+        let is_up = |worker: &Incarnation| {
             let state = self.worker_states.get_incarnation(worker);
             state.is_some_and(|state| !state.refused)
         };
-        let tried = self
-            .trials
-            .values()
-            .filter(|worker| is_well(worker))
-            .count();
-        tried < (self.worker_states.len() / TRIAL_SHARE).max(1)
-            && self.trials.len() < (self.worker_states.len() / HELD_SHARE).max(2)
+        let running = self.trials.values().filter(|worker| is_up(worker)).count();
+        running < (self.worker_states.len() / TRIAL_DIVISOR).max(1)
+            && self.trials.len() < (self.worker_states.len() / OCCUPIED_DIVISOR).max(2)
             && !self.trials.keys().any(of_step)
     }
 
@@ -448,44 +454,47 @@
         now: CoreTime,
     ) -> LossFacts {
         let other_life = matches!(end, Some(ProcessEnd::OtherLife | ProcessEnd::Restarted));
-        let over_at = state.refused_at.or(other_life.then_some(now));
-        let at = over_at.unwrap_or(state.loss_window().last);
-        let others = self.lost_beside(id, at, now);
+        let ended_by = state.refused_at.or(other_life.then_some(now));
+        let at = ended_by.unwrap_or(state.loss_window().last);
+        let others = self.lost_at_same_time(id, at, now);
         let rate = self.loss_rate(&state.entry.address, now);
         LossFacts {
-            is_end: other_life || (!state.listed && state.refused),
-            over_at,
+            has_ended: other_life || (!state.listed && state.refused),
+            ended_by,
             at,
             others,
-            is_storm: self.is_storm(others),
-            rate: rate.max(self.rate_beside(others)),
+            is_mass_loss: self.is_mass_loss(others),
+            rate: rate.max(self.simultaneous_loss_rate(others)),
         }
     }
 
     /// Returns workers that were lost without counting against a task, and when: those declared lost, and
     /// those that do not respond now.
     fn losses(&self, now: CoreTime) -> impl Iterator<Item = (&WorkerId, LossWindow)> {
-        let over = self
+        let recorded = self
             .worker_losses
             .iter()
             .map(|loss| (&loss.worker.worker, loss.span));
-        let told = |id: &WorkerId, state: &WorkerState| {
+        let is_recorded = |id: &WorkerId, state: &WorkerState| {
             let mut losses = self.worker_losses.iter().map(|loss| &loss.worker);
             losses.any(|lost| lost.worker == *id && lost.number == state.number)
         };
-        let silent = self.worker_states.iter().filter(move |(_, state)| {
+        let unresponsive = self.worker_states.iter().filter(move |(_, state)| {
             state.is_lost(now) && !state.is_crashed_by_task() && !state.left_as_announced()
         });
-        let silent = silent.filter(move |(id, state)| !told(id, state));
-        over.chain(silent.map(|(id, state)| (id, state.loss_window())))
+        let unresponsive = unresponsive.filter(move |(id, state)| !is_recorded(id, state));
+        recorded.chain(unresponsive.map(|(id, state)| (id, state.loss_window())))
     }
 
     /// Returns the number of other workers that were lost at about the same time as one.
-    fn lost_beside(&self, id: &WorkerId, at: CoreTime, now: CoreTime) -> usize {
-        let (from, until) = (at.saturating_sub(COMMON_TIME), at + COMMON_TIME);
-        let near = |span: &LossWindow| span.first <= until && span.last >= from;
+    fn lost_at_same_time(&self, id: &WorkerId, at: CoreTime, now: CoreTime) -> usize {
+        let (from, until) = (
+            at.saturating_sub(SIMULTANEOUS_WINDOW),
+            at + SIMULTANEOUS_WINDOW,
+        );
+        let overlaps = |span: &LossWindow| span.first <= until && span.last >= from;
         let losses = self.losses(now);
-        let others = losses.filter(|(other, span)| *other != id && near(span));
+        let others = losses.filter(|(other, span)| *other != id && overlaps(span));
         others.count()
     }
 
@@ -497,42 +506,42 @@
     }
 
     /// Returns whether so many losses within a short time are too many for a trial run.
-    fn is_common(&self, others: usize) -> bool {
-        others >= (self.worker_states.len() / COMMON_SHARE).max(1)
+    fn too_many_for_trial(&self, others: usize) -> bool {
+        others >= (self.worker_states.len() / QUIET_LOSS_DIVISOR).max(1)
     }
 
     /// Returns whether so many others were lost with a worker that its end is only weak evidence.
-    fn is_storm(&self, others: usize) -> bool {
-        others >= (self.worker_states.len() / STORM_SHARE).max(STORM_LEAST)
+    fn is_mass_loss(&self, others: usize) -> bool {
+        others >= (self.worker_states.len() / MASS_LOSS_DIVISOR).max(MIN_MASS_LOSS)
     }
 
     /// Returns the loss rate of one worker, per second, while so many others are lost at once.
-    fn rate_beside(&self, others: usize) -> f64 {
+    fn simultaneous_loss_rate(&self, others: usize) -> f64 {
         if others == 0 {
             return 0.0;
         }
         let workers = self.worker_states.len().max(1) as f64;
-        (others + 1) as f64 / ((COMMON_TIME * 2).as_secs_f64() * workers)
+        (others + 1) as f64 / ((SIMULTANEOUS_WINDOW * 2).as_secs_f64() * workers)
     }
 
     /// Returns the recent loss rate of one worker, per second: that of all workers, or that at its address if
     /// it is higher.
     fn loss_rate(&self, address: &str, now: CoreTime) -> f64 {
-        let led = now.saturating_sub(self.began_at);
-        let time = led.clamp(LEAST_RATE_TIME, RATE_TIME);
-        let lost = self.lost_since(now.saturating_sub(time), now) + 1;
-        let of_all = lost as f64 / (time.as_secs_f64() * self.worker_states.len().max(1) as f64);
-        let here = self
+        let leading_for = now.saturating_sub(self.began_at);
+        let period = leading_for.clamp(MIN_RATE_WINDOW, RATE_WINDOW);
+        let lost = self.lost_since(now.saturating_sub(period), now) + 1;
+        let of_all = lost as f64 / (period.as_secs_f64() * self.worker_states.len().max(1) as f64);
+        let at_address = self
             .worker_losses
             .iter()
             .filter(|loss| loss.address == address);
-        let here: Vec<CoreTime> = here.map(|loss| loss.span.last).collect();
-        let first = here.iter().min().copied().unwrap_or(now);
-        let time = match here.len() {
-            0 | 1 => RATE_TIME,
+        let at_address: Vec<CoreTime> = at_address.map(|loss| loss.span.last).collect();
+        let first = at_address.iter().min().copied().unwrap_or(now);
+        let period = match at_address.len() {
+            0 | 1 => RATE_WINDOW,
             _ => now.saturating_sub(first).max(Duration::from_secs(1)),
         };
-        let of_address = here.len() as f64 / time.as_secs_f64();
-        of_all.max(of_address).max(LEAST_RATE)
+        let of_address = at_address.len() as f64 / period.as_secs_f64();
+        of_all.max(of_address).max(MIN_LOSS_RATE)
     }
 }
