--- a/crates/bankvalve_check/tests/site/sight.rs
+++ b/crates/bankvalve_check/tests/site/sight.rs
@@ -95,8 +95,11 @@
     let detail = &first.3;
     assert!(detail.starts_with("run 1 on w-"), "{detail}");
     assert!(detail.contains(&address), "{detail}");
-    assert!(detail.contains("entry listed, silent for 1."), "{detail}");
-    assert!(detail.contains(": own_hold, asked until "), "{detail}");
+    assert!(
+        detail.contains("entry listed, no contact for 1."),
+        "{detail}"
+    );
+    assert!(detail.contains(": own_hold, lease until "), "{detail}");
     assert_eq!(lost_contact(&world), [(WaitReason::OwnHold, 1)]);
     assert!((2_300..2_700).contains(&oldest_ms(&world)));
     // Its hold is over, and its entry stands.
@@ -114,10 +117,10 @@
         "placer place",
     ];
     assert_eq!(names, expected, "{lines:#?}");
-    assert!(lines[2].3.contains(": entry_listed, its hold is over"));
+    assert!(lines[2].3.contains(": entry_listed, its lease has expired"));
     let end = &lines[3];
-    assert!(end.3.contains(", unheard for 1"), "{end:?}");
-    assert!(end.3.ends_with("at last by entry_listed"), "{end:?}");
+    assert!(end.3.contains(", out of contact for 1"), "{end:?}");
+    assert!(end.3.ends_with(", last reason entry_listed"), "{end:?}");
     for line in &lines[1..3] {
         let told = told_end(line);
         assert!(end.0 <= told + LATE_MS, "{line:?}, {end:?}");
@@ -139,12 +142,13 @@
     let [_, lost_contact, end, place] = lines.as_slice() else {
         panic!("expected a start, a wait, an end and a start, found {lines:#?}");
     };
-    assert!(lost_contact.3.contains(": own_hold, asked until "));
+    assert!(lost_contact.3.contains(": own_hold, lease until "));
     assert!(
-        end.3.contains("its hold is over, its entry stands"),
+        end.3
+            .contains("its lease has expired, its entry still exists"),
         "{end:?}"
     );
-    assert!(end.3.ends_with("at last by own_hold"), "{end:?}");
+    assert!(end.3.ends_with(", last reason own_hold"), "{end:?}");
     let told = told_end(lost_contact);
     let in_time = told.saturating_sub(LATE_MS)..=told + LATE_MS;
     assert!(in_time.contains(&end.0), "{lost_contact:?}, {end:?}");
@@ -163,10 +167,10 @@
     assert_eq!(names, ["runs unheard", "runs heard"], "{lines:#?}");
     let detail = &lines[1].3;
     assert!(
-        detail.contains("its worker answers, unheard for "),
+        detail.contains("its worker answers, out of contact for "),
         "{detail}"
     );
-    assert!(detail.ends_with("at last by own_hold"), "{detail}");
+    assert!(detail.ends_with(", last reason own_hold"), "{detail}");
     assert_eq!(lost_contact(&world), []);
     assert_kept(&world);
 }
@@ -201,10 +205,10 @@
     assert_ne!(told.1, former);
     let detail = &told.3;
     assert!(detail.starts_with("run 1 on w-"), "{detail}");
-    let unknown = "address not known, entry never seen by this leader, \
-                   not heard since this leader began, for 1.5";
+    let unknown = "address unknown, entry never seen by this leader, \
+                   no contact since this leader started, for 1.5";
     assert!(detail.contains(unknown), "{detail}");
-    assert!(detail.contains("; it cannot be asked; ends by itself in"));
+    assert!(detail.contains("; it cannot be polled; ends by itself in"));
     told.clone()
 }
 
@@ -217,7 +221,7 @@
     let by = told_end(told);
     let in_time = by.saturating_sub(LATE_MS)..=by + LATE_MS;
     assert!(in_time.contains(&end.0), "{told:?}, {end:?}");
-    let last = format!("at last by {reason}");
+    let last = format!(", last reason {reason}");
     assert!(end.3.ends_with(&last), "{end:?}");
     assert_eq!(lost_contact(world), []);
     assert_kept(world);
@@ -229,7 +233,7 @@
     let former = lose_worker_and_all(&mut world, 60_000);
     world.run_until(8_000);
     let told = told_by_successor(&world, former);
-    let why = ": former_hold_assumed, a leader before was not in touch with this instance";
+    let why = ": former_hold_assumed, a former leader was not in mutual contact with this instance";
     assert!(told.3.contains(why), "{told:?}");
     assert_eq!(lost_contact(&world), [(WaitReason::FormerHoldAssumed, 1)]);
     assert!(oldest_ms(&world) >= 2_500);
@@ -243,7 +247,7 @@
     let former = lose_worker_and_leader(&mut world, 60_000);
     world.run_until(8_000);
     let told = told_by_successor(&world, former);
-    let why = ": former_hold_known, it is known when the leaders before had stopped";
+    let why = ": former_hold_known, it is known when the former leaders stopped";
     assert!(told.3.contains(why), "{told:?}");
     assert_eq!(lost_contact(&world), [(WaitReason::FormerHoldKnown, 1)]);
     assert!(oldest_ms(&world) >= 2_500);
@@ -261,7 +265,7 @@
     world.kill(leader, 60_000);
     world.run_until(9_000);
     let told = told_by_successor(&world, leader);
-    let why = ": former_hold_known, the ledger has that no leader prolongs its hold";
+    let why = ": former_hold_known, the ledger records that no leader renews its lease";
     assert!(told.3.contains(why), "{told:?}");
     world.run_until(40_000);
     check_told_end(&world, &told, "former_hold_known");
@@ -318,11 +322,12 @@
     let lines = task_lines(&world, &["runs unheard"]);
     let unsure = |line: &&TaskLine| {
         line.3
-            .contains(": unconfirmed, this leader has not been sure")
+            .contains(": unconfirmed, the leadership of this leader has not been confirmed for ")
     };
     let line = lines.iter().find(unsure).expect("a line");
     assert!(
-        line.3.contains("once this leader is sure again"),
+        line.3
+            .contains("once this leader's leadership is confirmed again"),
         "{line:?}"
     );
     let ends = task_lines(&world, &["runs end"]);
--- a/crates/bankvalve_queue/src/core/lease_renewal.rs
+++ b/crates/bankvalve_queue/src/core/lease_renewal.rs
@@ -213,7 +213,7 @@
             .collect();
         for (task, run, saved, run_summary) in lost {
             let why = format!(
-                "{}, its entry stands, {run_summary}",
+                "{}, its entry still exists, {run_summary}",
                 ProcessEnd::LeaseExpired.as_str()
             );
             self.end_without_report(id, task, run, EndKind::Lost, saved, &why);
--- a/crates/bankvalve_queue/src/core/lost_contact.rs
+++ b/crates/bankvalve_queue/src/core/lost_contact.rs
@@ -109,7 +109,7 @@
         lost_contact.map_or_else(String::new, |lost_contact| {
             let waited = rounded(now.saturating_sub(lost_contact.since));
             format!(
-                ", unheard for {waited:?}, at last by {}",
+                ", out of contact for {waited:?}, last reason {}",
                 lost_contact.reason.as_str()
             )
         })
@@ -162,7 +162,7 @@
     /// Returns the log text on where a run is assumed to be running, and what is known about the worker.
     fn lost_contact_text(&self, now: CoreTime, since: CoreTime) -> String {
         let address = match self.entry.address.as_str() {
-            "" => "address not known",
+            "" => "address unknown",
             address => address,
         };
         let entry = match (self.listed, self.unlisted_at) {
@@ -175,9 +175,9 @@
         };
         let without_contact = rounded(now.saturating_sub(since));
         let contact_text = if self.last_contact.is_some() {
-            "silent for"
+            "no contact for"
         } else {
-            "not heard since this leader began, for"
+            "no contact since this leader started, for"
         };
         let port = if self.refused {
             ", its port refuses"
@@ -400,17 +400,20 @@
         let unconfirmed = lost_contact.reason == WaitReason::Unconfirmed;
         let end = match until.map(|until| rounded(until.saturating_sub(now))) {
             Some(left) if unconfirmed => {
-                format!("once this leader is sure again, by itself in at most {left:?} from now")
+                format!(
+                    "once this leader's leadership is confirmed again, by itself in at most {left:?} \
+                     from now"
+                )
             }
             Some(left) => format!("by itself in at most {left:?}"),
-            None => "not by itself, since its clock is not known".to_owned(),
+            None => "not by itself, because its clock is not known".to_owned(),
         };
-        let asked = if state.entry.address.is_empty() {
-            "it cannot be asked; ends "
+        let poll_text = if state.entry.address.is_empty() {
+            "it cannot be polled; ends "
         } else {
-            "ends with its answer, another life at its address, or "
+            "ends with its answer, another process at its address, or "
         };
-        format!("run {run} on {worker}, {place}: {reason}, {why}; {asked}{end}")
+        format!("run {run} on {worker}, {place}: {reason}, {why}; {poll_text}{end}")
     }
 
     fn reason_text(
@@ -423,29 +426,29 @@
         match reason {
             WaitReason::OwnHold => {
                 let reading = state.clock.map_or(0, |(_, reading)| reading);
-                let asked = Duration::from_millis(state.lease_until.saturating_sub(reading));
-                format!("asked until {asked:?} after its last answer by its clock")
+                let lease = Duration::from_millis(state.lease_until.saturating_sub(reading));
+                format!("lease until {lease:?} after its last answer by its clock")
             }
             WaitReason::FormerHoldKnown if self.is_bounded_by_ledger(id) => {
-                "the ledger has that no leader prolongs its hold".to_owned()
+                "the ledger records that no leader renews its lease".to_owned()
             }
             WaitReason::FormerHoldKnown => {
-                "it is known when the leaders before had stopped, and what they asked for"
+                "it is known when the former leaders stopped, and which leases they requested"
                     .to_owned()
             }
             WaitReason::FormerHoldAssumed => {
                 let longest = self.settings.hold_limit;
                 format!(
-                    "a leader before was not in touch with this instance: it is assumed to go on for \
-                     {UNCONFIRMED_LIMIT:?}, and to ask for {longest:?}"
+                    "a former leader was not in mutual contact with this instance: it is assumed to \
+                     continue for {UNCONFIRMED_LIMIT:?}, and to request leases of {longest:?}"
                 )
             }
-            WaitReason::EntryListed => "its hold is over, its entry still stands".to_owned(),
+            WaitReason::EntryListed => "its lease has expired, its entry still exists".to_owned(),
             WaitReason::Unconfirmed => {
                 let unconfirmed = rounded(self.age(lead.confirmed_at));
                 format!(
-                    "this leader has not been sure that it leads for {unconfirmed:?} and neither looks \
-                     at workers nor gives any up"
+                    "the leadership of this leader has not been confirmed for {unconfirmed:?}, so it neither \
+                     polls workers nor declares any lost"
                 )
             }
         }
@@ -463,13 +466,13 @@
         let end = if in_contact {
             "its worker answers"
         } else {
-            "the run is not waited for any more"
+            "the run is no longer waited for"
         };
         let waited = rounded(now.saturating_sub(lost_contact.since));
         let reason = lost_contact.reason.as_str();
         self.log_often("runs", "heard", || {
             let detail = format!(
-                "run {run} on {worker}: {end}, unheard for {waited:?}, at last by {reason}"
+                "run {run} on {worker}: {end}, out of contact for {waited:?}, last reason {reason}"
             );
             (task.to_string(), detail)
         });
--- a/crates/bankvalve_queue/src/core/restart_preparation.rs
+++ b/crates/bankvalve_queue/src/core/restart_preparation.rs
@@ -171,8 +171,8 @@
                 permits,
             } = prepared;
             let detail = format!(
-                "{due} tasks to start, {later} whose workers do not respond: {allowed} allowed workers known, \
-                 capacity reserved on {reservations}, free on {free}, {permits} permits for them"
+                "{due} tasks to start, {later} whose workers do not respond: {allowed} allowed workers \
+                 known, capacity reserved on {reservations}, free on {free}, {permits} permits for them"
             );
             (key.to_string(), detail)
         });
