--- a/crates/bankvalve_queue/src/core/lease_renewal.rs
+++ b/crates/bankvalve_queue/src/core/lease_renewal.rs
@@ -50,21 +50,21 @@
 /// Most first polls in flight at once. Each needs a new connection, and thousands of them would occupy the
 /// CPU for longer than their timeout.
 const MAX_FIRST_POLLS: usize = 150;
-/// Smallest limit on polls in flight to unresponsive workers.
+/// Polls to unresponsive workers that may always be in flight.
 const MIN_UNRESPONSIVE_POLLS: usize = 8;
-/// Divisor of the number of workers that gives this limit. When all workers are unresponsive, the cause is
-/// the leader's own link or CPU, and polling all of them repeatedly, each on a new connection, would prolong
-/// that.
+/// One worker in this many may have such a poll in flight if that is more. When all workers are unresponsive,
+/// the cause is the leader's own link or CPU. Polling all of them repeatedly, each on a new connection, would
+/// prolong that.
 const UNRESPONSIVE_POLL_DIVISOR: usize = 16;
 /// Time without contact for which the leader waits for a worker that keeps its own entry in the table. It is
 /// running, and its run lists will show which of its runs succeeded. Their tasks start elsewhere some
 /// seconds later than its lease would allow, instead of running to completion twice.
 const LISTED_TIMEOUT: Duration = Duration::from_millis(10_000);
-/// Such a time while many workers are unresponsive at once, usually because of a fault of the leader itself.
+/// That time while many workers are unresponsive at once, usually because of a fault of the leader itself.
 const MASS_LISTED_TIMEOUT: Duration = Duration::from_millis(30_000);
-/// Divisor of the number of workers with runs that gives how many of them count as many unresponsive ones.
+/// Many workers count as unresponsive if one in this many of those with runs is.
 const MANY_UNRESPONSIVE_DIVISOR: usize = 4;
-/// Smallest number of workers with runs that counts as many unresponsive ones.
+/// Smallest number of unresponsive workers with runs that counts as many.
 const MIN_MANY_UNRESPONSIVE: usize = 3;
 /// Time since the last contact within which a worker's lease is renewed. It allows one more renewal after a
 /// poll whose answer is lost (1.5 s). A lost worker's tasks start again no sooner than this time and a lease
@@ -227,7 +227,7 @@
         }
         let former = self.former_leases_expire_at(id);
         if !state.token_accepted {
-            // The worker may be running: it is polled once before, if its entry exists.
+            // The worker may still be up: if its entry exists, it must have been polled without an answer.
             let polled = !state.listed || state.unanswered > 0;
             let workers_known = self.lead.as_deref().is_some_and(|lead| lead.workers_known);
             return self.now > former && workers_known && polled;
@@ -444,7 +444,8 @@
                 }
                 self.handle_answered_poll(id, sent_at, report, *clock_ms);
             }
-            // The only connection allowed has closed, which shows nothing about the worker: poll it again.
+            // The connection for the acknowledgement has closed, which shows nothing about the worker: it is
+            // polled again on another one.
             WorkerAnswer::NotSent if acknowledged > 0 => {
                 self.counters.count("retries", "connection_ended");
                 if let Some(state) = self.worker_state_mut(id) {
--- a/crates/bankvalve_queue/src/core/stopped_leases.rs
+++ b/crates/bankvalve_queue/src/core/stopped_leases.rs
@@ -27,23 +27,23 @@
 /// renewed, if the worker's port refuses connections or its entry is gone. It is slightly longer than the
 /// time in which polls still renew the lease.
 const STOP_IF_LOST_AFTER: Duration = Duration::from_millis(1_700);
-/// Such a time if there is no other sign of a loss: a poll that waits, 1.5 s without contact, and a poll that
-/// times out meanwhile. With a shorter time, a worker that does not respond for a moment, just before the
-/// table becomes slow or unavailable, would lose its runs, because resuming its lease could not be committed.
+/// Time without contact after which the record is made if there is no other sign of a loss: a poll that
+/// waits, 1.5 s without contact, and a poll that times out meanwhile. With a shorter time, a worker that does
+/// not respond for a moment, just before the table becomes slow or unavailable, would lose its runs, because
+/// resuming its lease could not be committed.
 const STOP_IF_UNRESPONSIVE_AFTER: Duration = Duration::from_millis(3_400);
 /// Added to the usual time between answers of a worker whose polls wait longer.
 const RESPONSE_GAP_SLACK: Duration = Duration::from_millis(100);
 /// Age of the last confirmation of leadership up to which the table is assumed to answer: one request of an
 /// idle leader, and one slow request.
 const TABLE_ANSWERS_WITHIN: Duration = Duration::from_millis(1_500);
-/// Unanswered polls after which the same is recorded for a worker that never answered this leader.
+/// Unanswered polls after which the record is made for a worker that never answered this leader.
 const STOP_AFTER_UNANSWERED: u32 = 2;
 /// Difference by which a lease must expire sooner than recorded to be recorded again, for the next leader. A
 /// recorded time can be too late: if a former leader sends heartbeats again, its end becomes known.
 const RERECORD_DIFFERENCE: Duration = Duration::from_secs(1);
-/// Divisor of the number of workers with runs that gives how many of them may be unresponsive at once. If
-/// more are, nothing is recorded: the cause is the leader's own link or CPU, and each of them would cost two
-/// events.
+/// Nothing is recorded if more than one in this many of the workers with runs is unresponsive: the cause is
+/// the leader's own link or CPU, and each of them would cost two events.
 const LEADER_FAULT_DIVISOR: usize = 2;
 /// Smallest number of unresponsive workers with runs for which nothing is recorded.
 const MIN_LEADER_FAULT: usize = 4;
--- a/crates/bankvalve_queue/src/core/suspects.rs
+++ b/crates/bankvalve_queue/src/core/suspects.rs
@@ -1,9 +1,9 @@
-//! Evidence against tasks whose workers ended, and isolated trial runs of such suspects.
+//! Suspects: tasks under which workers ended. Evidence against them, and their isolated trial runs.
 //!
 //! [`CrashCount`](crate::CrashCount), a part of the ledger's state, decides which tasks are suspects and
 //! when a job fails because of them. This module collects what the leader has seen of a worker's end.
 //! It also decides when and how suspects start: one at a time for each step, on a worker where nothing
-//! else runs. An end there harms no other task and is strong evidence.
+//! else runs. An end there harms no other task and is strong evidence ([`CrashWeight::Proof`]).
 //!
 //! Only what was seen is evidence. An order without an answer may never have arrived, and a worker that
 //! does not respond may be cut off. If a task crashes its worker, the worker's port refuses connections.
@@ -12,10 +12,10 @@
 //! lost. So during a mass loss the same end weighs less, and it weighs least if other workers were lost
 //! at that moment.
 //!
-//! Trial runs take at most one worker in eight at once, or one in four with the workers that have just ended
-//! under one. A gang's suspects start together, so they may take more. A suspect that has waited too long for
-//! its start or for a free worker starts beside other runs. After a second end it starts only beside runs
-//! that are not new, where an end is as strong evidence. A long-running task waits only until
+//! Trial runs take at most one worker in eight at once, or one in four including the workers that have just
+//! ended under one. A gang's suspects start together, so they may take more. A suspect that has waited too
+//! long for its start or for a free worker starts beside other runs. After a second end it starts only beside
+//! runs that are not new, where an end is as strong evidence. A long-running task waits only until
 //! [`is_past_restart_deadline`](EntryCore::is_past_restart_deadline) returns true, which counts all of its
 //! waits.
 
@@ -43,31 +43,30 @@
 /// Time for which a port must have refused connections before the evidence is committed: by then, the
 /// leader has seen which other workers were lost at the same time.
 const EVIDENCE_DELAY: Duration = Duration::from_millis(400);
-/// Age from which on a run is not related to its worker's end: a task that runs for weeks is present when
-/// some workers end.
+/// Age of a run from which on its worker's end does not count against the task: a task that runs for weeks is
+/// present when some workers end.
 const UNRELATED_AGE: Duration = Duration::from_secs(30);
-/// Divisor of the number of workers that gives the number of concurrent trial runs, at least one.
+/// One worker in this many, and at least one, may run a trial at the same time.
 const TRIAL_DIVISOR: usize = 8;
-/// Divisor for the same limit that includes workers which have ended under a suspect and are not declared
-/// lost yet; the result is at least two.
+/// One worker in this many, and at least two, may run a trial or have ended under one without having been
+/// declared lost.
 const OCCUPIED_DIVISOR: usize = 4;
 /// Longest wait for a free worker and an allowed start before a suspect starts beside other runs, if it
 /// was present at several ends without an early crash. Callers are told after three seconds that nothing
 /// runs although there is capacity.
 const WEAK_MAX_WAIT: Duration = Duration::from_millis(2_000);
-/// Longest such wait of a suspect with an early crash. After twice this time, a suspect that need not be
-/// isolated starts beside any other runs.
+/// Longest wait of a suspect with an early crash before it starts apart from new runs. After twice this time
+/// it may start beside any runs, and after three times also if it must be isolated and no end is proof.
 const EARLY_MAX_WAIT: Duration = Duration::from_secs(8);
 /// Time before and after a worker's end within which other losses count as simultaneous, as when a rack or
 /// a failure domain fails or the network is cut. The leader notices refusing ports within it.
 const SIMULTANEOUS_WINDOW: Duration = Duration::from_millis(200);
 /// Time without many losses that must precede a trial run whose end may be proof.
 const QUIET_TIME: Duration = Duration::from_secs(1);
-/// Divisor of the number of workers that gives the number of losses, at least one, within [`QUIET_TIME`]
-/// from which on no such trial run starts.
+/// No such trial run starts if one worker in this many, and at least one, was lost within [`QUIET_TIME`].
 const QUIET_LOSS_DIVISOR: usize = 100;
-/// Divisor of the number of workers that gives the number of simultaneous losses of other workers from
-/// which on a mass loss is assumed, and an end right after a start is only weak evidence.
+/// A mass loss is assumed if one worker in this many was lost at the same time as another. An end right after
+/// a start is only weak evidence then.
 const MASS_LOSS_DIVISOR: usize = 20;
 /// Smallest number of simultaneous losses of other workers that counts as a mass loss.
 const MIN_MASS_LOSS: usize = 3;
