--- a/crates/bankvalve_queue/src/core/lost_contact.rs
+++ b/crates/bankvalve_queue/src/core/lost_contact.rs
@@ -1,11 +1,12 @@
-//! Why a task does not run now: its last run is still believed on a worker that is not heard. Why one
-//! whose run has ended has not started again is told by `restarts`, and both are counted in
-//! [`TaskWaits`].
+//! Tracking of tasks that wait because their worker is out of contact.
 //!
-//! Nothing is decided here. [`EntryCore::track_waits`] looks some ten times a second at what `holds`
-//! and `placing` decide by, logs when a task begins and ceases to wait and for which reason, and
-//! counts such tasks for the metrics. How long a worker that is not heard may still run what it had
-//! is told by `belief_of`, which must say the same as `holds` does.
+//! The last run of such a task is assumed to be still running there. `restart_waits` tracks tasks whose
+//! run has ended and that have not started again. [`TaskWaits`] counts both.
+//!
+//! This module decides nothing. About ten times a second, [`EntryCore::track_waits`] scans the state on which
+//! `lease_renewal` and `placement` base their decisions. It logs when a task starts or stops waiting and for
+//! which reason, and counts such tasks for the metrics. `assumed_run` calculates for how long a worker that
+//! is out of contact may still run its tasks; its result must agree with `lease_renewal`.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -21,21 +22,21 @@
 use crate::ids::{CoreTime, RunId, StepKey, TaskKey, WorkerId};
 use crate::ledger::{JobOutcome, JobRecord, TaskPhase};
 
-/// Time between two looks at what tasks wait for: a tenth of the shortest wait that is told.
-const LOOK_PACE: Duration = Duration::from_millis(100);
-/// Added to it for each task that waits, so that thousands of them take a hundredth of a core at
-/// most: some forty times what one costs.
-const LOOK_EACH: Duration = Duration::from_micros(20);
-/// Time within which a worker answers a new leader as a rule: a first look is waited for some 0.6 s,
-/// asked again 0.25 s later.
-const FIRST_ANSWER: Duration = Duration::from_millis(1_500);
+/// Interval between two scans of waiting tasks: a tenth of the shortest wait that is logged.
+const SCAN_INTERVAL: Duration = Duration::from_millis(100);
+/// Added to the interval for each waiting task: about forty times the cost of scanning one, so that
+/// thousands of them take at most a hundredth of a core.
+const SCAN_INTERVAL_PER_TASK: Duration = Duration::from_micros(20);
+/// Time within which a worker usually answers a new leader. The first poll times out after about 0.6 s,
+/// and the next one follows 0.25 s later.
+const FIRST_ANSWER_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// A run that is believed on a worker that is not heard.
+/// A run that is assumed to be running on a worker that is out of contact.
 #[derive(Clone, Debug)]
-struct UnheardRun {
+struct LostContactRun {
     worker: WorkerId,
     run: RunId,
-    /// When the worker was last heard, or this leader began to look at it.
+    /// When the worker last answered, or, if it never did, when this leader started to poll it.
     since: CoreTime,
     reason: WaitReason,
 }
@@ -44,16 +45,17 @@
 #[derive(Clone, Debug)]
 pub(super) struct EndedRun {
     pub(super) run: RunId,
-    /// When it ended, or when this leader began if that was before.
+    /// When it ended, or when this leader first scanned if it ended under a former leader.
     pub(super) since: CoreTime,
-    /// Why the task had not started when it was last looked at, once it has waited for long.
+    /// Why the task had not started at the last scan; `None` until it has waited long enough to be reported.
     pub(super) reason: Option<StartWait>,
     /// How often each reason was found, in the order of [`StartWait::ALL`].
     pub(super) found: [u32; StartWait::ALL.len()],
 }
 
 impl EndedRun {
-    /// The reason that was found most often, once the task has waited for long.
+    /// Returns the reason that was found most often, or `None` if the task has not waited long enough to be
+    /// reported.
     fn most_found(&self) -> Option<StartWait> {
         self.reason?;
         let found = |reason: &StartWait| self.found[*reason as usize];
@@ -61,25 +63,26 @@
     }
 }
 
-/// What the leader tells of tasks that wait.
+/// Waiting tasks that a leader tracks.
 #[derive(Debug, Default)]
 pub(super) struct WaitTracker {
-    /// When this leader, which has its book, first looked.
-    first_look: Option<CoreTime>,
-    next_look: CoreTime,
-    lost_contact: BTreeMap<TaskKey, UnheardRun>,
+    /// Time of the first scan by this leader, which has read the entire ledger by then.
+    first_scan: Option<CoreTime>,
+    next_scan: CoreTime,
+    lost_contact: BTreeMap<TaskKey, LostContactRun>,
     pub(super) ended: BTreeMap<TaskKey, EndedRun>,
 }
 
-/// By what a run on a worker that is not heard is still believed.
-struct Belief {
+/// Why a run on a worker that is out of contact is assumed to be running.
+struct AssumedRun {
     reason: WaitReason,
-    /// When it ends by itself at the latest; none if that is not known.
+    /// Time from which on the run is no longer assumed to be running, even without contact; `None` if that is
+    /// not known.
     until: Option<CoreTime>,
 }
 
 impl WaitTracker {
-    /// A run ended other than well.
+    /// Records that a run ended without success.
     pub(super) fn note_end(&mut self, task: TaskKey, run: RunId, now: CoreTime) {
         let ended = EndedRun {
             run,
@@ -90,29 +93,29 @@
         self.ended.insert(task, ended);
     }
 
-    /// For the line on a run's end: for how long its worker was not heard, and what was waited for
-    /// last; empty if it was heard.
+    /// Stops tracking a run, and returns the text for the log line on its end: for how long its worker was
+    /// out of contact, and the last reason for the wait. It is empty if the worker was in contact.
     pub(super) fn take_lost_contact_text(
         &mut self,
         task: &TaskKey,
         run: RunId,
         now: CoreTime,
     ) -> String {
-        let is_meant = |lost_contact: &UnheardRun| lost_contact.run == run;
-        if !self.lost_contact.get(task).is_some_and(is_meant) {
+        let is_same_run = |lost_contact: &LostContactRun| lost_contact.run == run;
+        if !self.lost_contact.get(task).is_some_and(is_same_run) {
             return String::new();
         }
         let lost_contact = self.lost_contact.remove(task);
         lost_contact.map_or_else(String::new, |lost_contact| {
             let waited = rounded(now.saturating_sub(lost_contact.since));
             format!(
-                ", unheard for {waited:?}, at last by {}",
+                ", out of contact for {waited:?}, last reason {}",
                 lost_contact.reason.as_str()
             )
         })
     }
 
-    /// For the line on a start: for how long the task has waited for it since its last run ended.
+    /// Returns the text for the log line on a start: for how long the task waited since its last run ended.
     pub(super) fn start_text(&self, task: &TaskKey, now: CoreTime) -> String {
         let Some(ended) = self.ended.get(task) else {
             return String::new();
@@ -128,7 +131,7 @@
         }
     }
 
-    /// The counts, and ages as of now.
+    /// Returns the counts, and the longest waits up to `now`.
     fn waits(&self, now: CoreTime) -> TaskWaits {
         let mut waits = TaskWaits::default();
         for lost_contact in self.lost_contact.values() {
@@ -148,17 +151,18 @@
 }
 
 impl WorkerState {
-    /// When every hold that this leader prolonged is surely over; none if its clock is not known.
+    /// Returns when every lease that this leader renewed has expired, or `None` if the worker's clock is not
+    /// known.
     fn lease_expires_at(&self) -> Option<CoreTime> {
         let (at, reading) = self.clock?;
         let left = Duration::from_millis(self.lease_until.saturating_sub(reading));
         Some(at + CLOCK_SLACK + left * 100 / (100 - SLOW_CLOCK_PERCENT))
     }
 
-    /// For the log: where a run is believed, and what is known of the worker.
-    fn unheard_text(&self, now: CoreTime, since: CoreTime) -> String {
+    /// Returns the log text on where a run is assumed to be running, and what is known about the worker.
+    fn lost_contact_text(&self, now: CoreTime, since: CoreTime) -> String {
         let address = match self.entry.address.as_str() {
-            "" => "address not known",
+            "" => "address unknown",
             address => address,
         };
         let entry = match (self.listed, self.unlisted_at) {
@@ -169,49 +173,49 @@
             }
             (false, None) => "entry never seen by this leader".to_owned(),
         };
-        let silent = rounded(now.saturating_sub(since));
-        let heard = if self.last_contact.is_some() {
-            "silent for"
+        let without_contact = rounded(now.saturating_sub(since));
+        let contact_text = if self.last_contact.is_some() {
+            "no contact for"
         } else {
-            "not heard since this leader began, for"
+            "no contact since this leader started, for"
         };
         let port = if self.refused {
             ", its port refuses"
         } else {
             ""
         };
-        format!("{address}, {entry}, {heard} {silent:?}{port}")
+        format!("{address}, {entry}, {contact_text} {without_contact:?}{port}")
     }
 }
 
 impl EntryCore {
-    /// Tasks that do not run though they did, for the metrics.
+    /// Returns the counts of tasks that have run before and do not run now, for the metrics.
     pub(super) fn task_waits(&self) -> TaskWaits {
         let lead = self.lead.as_deref();
         lead.map_or_else(TaskWaits::default, |lead| lead.wait_tracker.waits(self.now))
     }
 
-    /// Looks at what tasks wait for, if that is due, and logs what has changed.
+    /// Scans what tasks wait for, if a scan is due, and logs changes.
     pub(super) fn track_waits(&mut self) {
         let now = self.now;
         let Some(lead) = self.lead.as_deref_mut() else {
             return;
         };
-        let sight = &mut lead.wait_tracker;
-        if now < sight.next_look {
+        let tracker = &mut lead.wait_tracker;
+        if now < tracker.next_scan {
             return;
         }
-        let waiting = sight.lost_contact.len() + sight.ended.len();
-        sight.next_look = now + LOOK_PACE + LOOK_EACH * waiting as u32;
-        if sight.first_look.is_none() {
-            sight.first_look = Some(now);
+        let waiting = tracker.lost_contact.len() + tracker.ended.len();
+        tracker.next_scan = now + SCAN_INTERVAL + SCAN_INTERVAL_PER_TASK * waiting as u32;
+        if tracker.first_scan.is_none() {
+            tracker.first_scan = Some(now);
             self.adopt_ended();
         }
-        self.watch_unheard();
+        self.track_lost_contact();
         self.track_restart_waits();
     }
 
-    /// Finds tasks whose runs ended under an earlier leader.
+    /// Starts tracking tasks whose runs ended under a former leader.
     fn adopt_ended(&mut self) {
         let now = self.now;
         let Some(lead) = self.lead.as_deref_mut() else {
@@ -237,12 +241,12 @@
         }
     }
 
-    fn watch_unheard(&mut self) {
+    fn track_lost_contact(&mut self) {
         let now = self.now;
         let Some(lead) = self.lead.as_deref() else {
             return;
         };
-        let found = self.find_unheard(lead);
+        let found = self.find_lost_contact(lead);
         let Some(lead) = self.lead.as_deref_mut() else {
             return;
         };
@@ -254,78 +258,83 @@
                 began.push((*task, lost_contact.clone(), *until));
             }
         }
-        let is_over = |(task, old): &(TaskKey, UnheardRun)| {
-            let still = found.get(task);
-            still.is_none_or(|(lost_contact, _)| lost_contact.run != old.run)
+        let is_finished = |(task, old): &(TaskKey, LostContactRun)| {
+            let current = found.get(task);
+            current.is_none_or(|(lost_contact, _)| lost_contact.run != old.run)
         };
-        let over: Vec<(TaskKey, UnheardRun)> = before.into_iter().filter(is_over).collect();
+        let finished: Vec<(TaskKey, LostContactRun)> =
+            before.into_iter().filter(is_finished).collect();
         lead.wait_tracker.lost_contact = found
             .into_iter()
             .map(|(task, (lost_contact, _))| (task, lost_contact))
             .collect();
         for (task, lost_contact, until) in began {
             if self.log_budget.may_log(now, "runs", "unheard") {
-                let detail = self.unheard_text(&lost_contact, until);
+                let detail = self.lost_contact_text(&lost_contact, until);
                 self.log("runs", "unheard", task.to_string(), detail);
             }
         }
-        for (task, lost_contact) in over {
-            self.tell_heard(task, &lost_contact);
+        for (task, lost_contact) in finished {
+            self.log_wait_ended(task, &lost_contact);
         }
     }
 
-    /// Tasks that wait for workers that are not heard, and when that ends by itself at the latest.
-    fn find_unheard(&self, lead: &LeadState) -> BTreeMap<TaskKey, (UnheardRun, Option<CoreTime>)> {
+    /// Returns tasks that wait for workers that are out of contact, and when the wait ends even without
+    /// contact.
+    fn find_lost_contact(
+        &self,
+        lead: &LeadState,
+    ) -> BTreeMap<TaskKey, (LostContactRun, Option<CoreTime>)> {
         let now = self.now;
         let mut found = BTreeMap::new();
-        let mut patience = None;
+        let mut timeout = None;
         for (id, state) in lead.worker_states.iter() {
-            let Some(since) = self.unheard_since(lead, state) else {
+            let Some(since) = self.out_of_contact_since(lead, state) else {
                 continue;
             };
-            let patience = *patience.get_or_insert_with(|| self.unresponsive_timeout(lead));
+            let timeout = *timeout.get_or_insert_with(|| self.unresponsive_timeout(lead));
             for (task, live) in &state.runs {
                 let waits = live.phase != RunPhase::Proposed && self.awaits_end(*task, live.run);
                 if !waits {
                     continue;
                 }
-                let belief = self.belief_of(id, state, live, patience);
-                // What was waited for last is told at the run's end, which comes at once then.
+                let assumed = self.assumed_run(id, state, live, timeout);
+                // The run is about to be declared lost: its log line names the reason waited for until now.
                 let before = lead.wait_tracker.lost_contact.get(task);
-                let over = belief.until.is_some_and(|until| until <= now);
-                let ends = over && belief.reason != WaitReason::Unconfirmed;
+                let expired = assumed.until.is_some_and(|until| until <= now);
+                let ends = expired && assumed.reason != WaitReason::Unconfirmed;
                 let reason = match before {
                     Some(before) if ends => before.reason,
-                    _ => belief.reason,
+                    _ => assumed.reason,
                 };
-                let lost_contact = UnheardRun {
+                let lost_contact = LostContactRun {
                     worker: id.clone(),
                     run: live.run,
                     since,
                     reason,
                 };
-                found.insert(*task, (lost_contact, belief.until));
+                found.insert(*task, (lost_contact, assumed.until));
             }
         }
         found
     }
 
-    /// Since when a worker with runs is not heard; none if it is.
-    fn unheard_since(&self, lead: &LeadState, state: &WorkerState) -> Option<CoreTime> {
+    /// Returns since when a worker with runs is out of contact, or `None` if it is in contact.
+    fn out_of_contact_since(&self, lead: &LeadState, state: &WorkerState) -> Option<CoreTime> {
         if state.runs.is_empty() {
             return None;
         }
-        let began = lead.wait_tracker.first_look.unwrap_or(self.now);
+        let began = lead.wait_tracker.first_scan.unwrap_or(self.now);
         let (since, usual) = match state.last_contact {
             Some(at) => (at, UNRESPONSIVE_AFTER.max(state.poll_wait + ANSWER_SLACK)),
-            None => (began.max(state.known_at), FIRST_ANSWER),
+            None => (began.max(state.known_at), FIRST_ANSWER_TIMEOUT),
         };
-        // A worker's word may wait behind the event that is being taken.
+        // A worker's answer may be queued behind the event that is being handled.
         let seen = self.now.saturating_sub(self.lag);
         (seen.saturating_sub(since) >= usual).then_some(since)
     }
 
-    /// Tells whether a task of an open job waits for the end of a run.
+    /// Returns whether a task of an open job waits for the end of a run.
     fn awaits_end(&self, task: TaskKey, run: RunId) -> bool {
         let job = self.book.job(task.step.job);
         job.is_some_and(|job| {
@@ -336,18 +345,18 @@
         })
     }
 
-    /// By what a run on a worker that is not heard is believed, and until when at the latest.
-    fn belief_of(
+    /// Returns why a run on a worker that is out of contact is assumed to be running, and until when.
+    fn assumed_run(
         &self,
         id: &WorkerId,
         state: &WorkerState,
         live: &LiveRun,
-        patience: Duration,
-    ) -> Belief {
+        timeout: Duration,
+    ) -> AssumedRun {
         let now = self.now;
-        let (hold, over_at) = if state.token_accepted {
-            let taken = state.token_accepted_at + self.former_leaders.longest_lease();
-            let former = self.former_leases_expire_at(id).min(taken);
+        let (lease_reason, expires_at) = if state.token_accepted {
+            let latest_former = state.token_accepted_at + self.former_leaders.longest_lease();
+            let former = self.former_leases_expire_at(id).min(latest_former);
             (
                 WaitReason::OwnHold,
                 state.lease_expires_at().map(|at| at.max(former)),
@@ -360,23 +369,23 @@
             };
             (reason, Some(self.former_leases_expire_at(id)))
         };
-        let patient_from = state.last_contact.unwrap_or(state.known_at);
+        let timeout_from = state.last_contact.unwrap_or(state.known_at);
         let is_waited_for = state.listed && live.may_report_success();
-        let patient_until = is_waited_for.then(|| patient_from + patience);
-        let until = over_at.map(|at| patient_until.map_or(at, |patient| at.max(patient)));
-        let over = over_at.is_some_and(|at| now > at);
+        let timeout_at = is_waited_for.then(|| timeout_from + timeout);
+        let until = expires_at.map(|at| timeout_at.map_or(at, |timeout_end| at.max(timeout_end)));
+        let expired = expires_at.is_some_and(|at| now > at);
         let reason = if !self.may_command() {
             WaitReason::Unconfirmed
-        } else if over && patient_until.is_some() {
+        } else if expired && timeout_at.is_some() {
             WaitReason::EntryListed
         } else {
-            hold
+            lease_reason
         };
-        Belief { reason, until }
+        AssumedRun { reason, until }
     }
 
-    /// For the log: where a run is believed, by what, and what would end that.
-    fn unheard_text(&self, lost_contact: &UnheardRun, until: Option<CoreTime>) -> String {
+    /// Returns the log text on where and why a run is assumed to be running, and what would end the wait.
+    fn lost_contact_text(&self, lost_contact: &LostContactRun, until: Option<CoreTime>) -> String {
         let now = self.now;
         let (run, worker) = (lost_contact.run, &lost_contact.worker);
         let lead = self.lead.as_deref();
@@ -385,23 +394,26 @@
         else {
             return format!("run {run} on {worker}");
         };
-        let place = state.unheard_text(now, lost_contact.since);
+        let place = state.lost_contact_text(now, lost_contact.since);
         let reason = lost_contact.reason.as_str();
         let why = self.reason_text(lead, worker, state, lost_contact.reason);
-        let unsure = lost_contact.reason == WaitReason::Unconfirmed;
+        let unconfirmed = lost_contact.reason == WaitReason::Unconfirmed;
         let end = match until.map(|until| rounded(until.saturating_sub(now))) {
-            Some(left) if unsure => {
-                format!("once this leader is sure again, by itself in at most {left:?} from now")
+            Some(left) if unconfirmed => {
+                format!(
+                    "once this leader's leadership is confirmed again, by itself in at most {left:?} \
+                     from now"
+                )
             }
             Some(left) => format!("by itself in at most {left:?}"),
-            None => "not by itself, since its clock is not known".to_owned(),
+            None => "not by itself, because its clock is not known".to_owned(),
         };
-        let asked = if state.entry.address.is_empty() {
-            "it cannot be asked; ends "
+        let poll_text = if state.entry.address.is_empty() {
+            "it cannot be polled; ends "
         } else {
-            "ends with its answer, another life at its address, or "
+            "ends with its answer, another process at its address, or "
         };
-        format!("run {run} on {worker}, {place}: {reason}, {why}; {asked}{end}")
+        format!("run {run} on {worker}, {place}: {reason}, {why}; {poll_text}{end}")
     }
 
     fn reason_text(
@@ -414,60 +426,60 @@
         match reason {
             WaitReason::OwnHold => {
                 let reading = state.clock.map_or(0, |(_, reading)| reading);
-                let asked = Duration::from_millis(state.lease_until.saturating_sub(reading));
-                format!("asked until {asked:?} after its last answer by its clock")
+                let lease = Duration::from_millis(state.lease_until.saturating_sub(reading));
+                format!("lease until {lease:?} after its last answer by its clock")
             }
             WaitReason::FormerHoldKnown if self.is_bounded_by_ledger(id) => {
-                "the ledger has that no leader prolongs its hold".to_owned()
+                "the ledger records that no leader renews its lease".to_owned()
             }
             WaitReason::FormerHoldKnown => {
-                "it is known when the leaders before had stopped, and what they asked for"
+                "it is known when the former leaders stopped, and which leases they requested"
                     .to_owned()
             }
             WaitReason::FormerHoldAssumed => {
                 let longest = self.settings.hold_limit;
                 format!(
-                    "a leader before was not in touch with this instance: it is assumed to go on for \
-                     {UNCONFIRMED_LIMIT:?}, and to ask for {longest:?}"
+                    "a former leader was not in mutual contact with this instance: it is assumed to \
+                     continue for {UNCONFIRMED_LIMIT:?}, and to request leases of {longest:?}"
                 )
             }
-            WaitReason::EntryListed => "its hold is over, its entry still stands".to_owned(),
+            WaitReason::EntryListed => "its lease has expired, its entry still exists".to_owned(),
             WaitReason::Unconfirmed => {
-                let unsure = rounded(self.age(lead.confirmed_at));
+                let unconfirmed = rounded(self.age(lead.confirmed_at));
                 format!(
-                    "this leader has not been sure that it leads for {unsure:?} and neither looks \
-                     at workers nor gives any up"
+                    "the leadership of this leader has not been confirmed for {unconfirmed:?}, so it neither \
+                     polls workers nor declares any lost"
                 )
             }
         }
     }
 
-    /// Logs that a task does not wait any more for a worker that was not heard; the line on its run's
-    /// end tells so where there is one.
-    fn tell_heard(&mut self, task: TaskKey, lost_contact: &UnheardRun) {
+    /// Logs that a task no longer waits for a worker that was out of contact. If the run has ended, the log
+    /// line on its end says so instead.
+    fn log_wait_ended(&mut self, task: TaskKey, lost_contact: &LostContactRun) {
         let now = self.now;
         let (run, worker) = (lost_contact.run, &lost_contact.worker);
         let lead = self.lead.as_deref();
         let state = lead.and_then(|lead| lead.worker_states.get(worker));
-        let heard =
+        let in_contact =
             state.is_some_and(|state| state.last_contact.is_some_and(|at| at > lost_contact.since));
-        let end = if heard {
+        let end = if in_contact {
             "its worker answers"
         } else {
-            "the run is not waited for any more"
+            "the run is no longer waited for"
         };
         let waited = rounded(now.saturating_sub(lost_contact.since));
         let reason = lost_contact.reason.as_str();
         self.log_often("runs", "heard", || {
             let detail = format!(
-                "run {run} on {worker}: {end}, unheard for {waited:?}, at last by {reason}"
+                "run {run} on {worker}: {end}, out of contact for {waited:?}, last reason {reason}"
             );
             (task.to_string(), detail)
         });
     }
 }
 
-/// A duration in whole milliseconds, for the log.
+/// Returns a duration in full milliseconds, for the log.
 pub(super) fn rounded(time: Duration) -> Duration {
     Duration::from_millis(time.as_millis() as u64)
 }
