--- a/crates/bankvalve_queue/src/core/lease_renewal.rs
+++ b/crates/bankvalve_queue/src/core/lease_renewal.rs
@@ -39,9 +39,11 @@
 const COMMIT_PAUSE: Duration = Duration::from_millis(500);
 /// Time since the last contact within which a worker has left at most one poll unanswered.
 const FIRST_MISS_WINDOW: Duration = Duration::from_millis(1_300);
-/// Pause after a poll that the worker's port refused, so that a new process there is found soon.
+/// Pause after a poll that the worker's port refused within [`FIRST_MISS_WINDOW`], so that a new process
+/// there is found soon.
 const REFUSED_PAUSE: Duration = Duration::from_millis(50);
-/// Pause after a poll without an answer. After the first such poll there is none.
+/// Pause after a poll without an answer later than [`FIRST_MISS_WINDOW`]. Within it, the worker is polled
+/// again at once.
 const UNRESPONSIVE_PAUSE: Duration = Duration::from_millis(250);
 /// Longest wait before the answer of a worker that runs nothing, on a site with many workers.
 const IDLE_POLL_WAIT: Duration = Duration::from_millis(2_000);
