--- a/crates/bankvalve_queue/tests/asks.rs
+++ b/crates/bankvalve_queue/tests/asks.rs
@@ -1,4 +1,4 @@
-//! How often a caller's request goes over the link to a leader that cannot take it up yet.
+//! How often an instance sends a caller's request to a leader that is still loading the ledger.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -8,17 +8,18 @@
     JobSpec, PeerAddress, PeerMessage, ResolvedRequest, Ticket,
 };
 
-/// Time for which the leader reads the ledger, in milliseconds: 2 MB on a link of 10 Mbit/s take
-/// 1.6 s if nothing else passes over it.
-const READING_MS: u64 = 2_000;
-/// Time between two heartbeats of the leader, and between two ticks, in milliseconds.
-const HEARTBEAT_MS: u64 = 160;
-const TICK_MS: u64 = 20;
-/// Copies that may go out in that time: one for each 0.7 s that a question waits for its answer,
-/// and one to spare.
-const MOST_COPIES: usize = 4;
-/// Time that the caller waits, in milliseconds.
-const PATIENCE_MS: u64 = 3_000;
+/// Time that the leader takes to load the ledger, in milliseconds: 2 MB on an otherwise idle link of
+/// 10 Mbit/s take 1.6 s.
+const LOADING_MS: u64 = 2_000;
+/// Time between two heartbeats of the leader, in milliseconds.
+const HEARTBEAT_INTERVAL_MS: u64 = 160;
+/// Time between two ticks, in milliseconds.
+const TICK_INTERVAL_MS: u64 = 20;
+/// Maximum number of copies of a request while the leader loads the ledger: one for each 0.7 s without an
+/// answer, plus one spare.
+const MAX_COPIES: usize = 4;
+/// The caller's timeout, in milliseconds.
+const CALLER_TIMEOUT_MS: u64 = 3_000;
 
 fn address(last: u8) -> PeerAddress {
     PeerAddress::from(([10, 0, 0, last], 7_300))
@@ -40,20 +41,20 @@
     }))
 }
 
-/// An instance with one caller that hands a job in.
-struct AskingInstance {
+/// An instance with one caller that submits a job.
+struct SubmittingInstance {
     core: EntryCore,
-    /// The last copy that went to the leader, until the leader has turned it away.
-    asked: Option<Ticket>,
+    /// Ticket of the last copy sent to the leader, until the leader has rejected that copy.
+    unanswered_copy: Option<Ticket>,
     copies: usize,
     answer: Option<CallerAnswer>,
 }
 
-impl AskingInstance {
+impl SubmittingInstance {
     fn new() -> Self {
         Self {
             core: EntryCore::new(EntrySettings::example(address(1))),
-            asked: None,
+            unanswered_copy: None,
             copies: 0,
             answer: None,
         }
@@ -67,7 +68,7 @@
                     message: PeerMessage::Ask { ticket, .. },
                     ..
                 } => {
-                    self.asked = Some(ticket);
+                    self.unanswered_copy = Some(ticket);
                     self.copies += 1;
                 }
                 CoreAction::Answer { answer, .. } => self.answer = Some(answer),
@@ -76,7 +77,7 @@
         }
     }
 
-    fn hand_in(&mut self, at_ms: u64) {
+    fn submit(&mut self, at_ms: u64) {
         let spec = JobSpec {
             id: 7,
             payload: "x".repeat(4_000),
@@ -89,20 +90,20 @@
                 spec: Arc::new(spec),
                 terms: Default::default(),
             },
-            patience_ms: PATIENCE_MS,
+            patience_ms: CALLER_TIMEOUT_MS,
             table_version: 0,
         };
         self.step(at_ms, CoreEvent::Caller { ticket, request });
     }
 
-    /// The leader reads the ledger all the while: it turns each copy away at once, and says so in
-    /// its heartbeats.
-    fn run_loading(&mut self, from_ms: u64, until_ms: u64) {
-        for at_ms in (from_ms..until_ms).step_by(TICK_MS as usize) {
-            if at_ms % HEARTBEAT_MS == 0 {
+    /// Runs the instance while the leader loads the ledger. The leader rejects each copy at once, and its
+    /// heartbeats report that it is loading.
+    fn run_while_loading(&mut self, from_ms: u64, until_ms: u64) {
+        for at_ms in (from_ms..until_ms).step_by(TICK_INTERVAL_MS as usize) {
+            if at_ms % HEARTBEAT_INTERVAL_MS == 0 {
                 self.step(at_ms, heartbeat(true));
             }
-            if let Some(ticket) = self.asked.take() {
+            if let Some(ticket) = self.unanswered_copy.take() {
                 let answer = None;
                 self.step(at_ms, from_leader(PeerMessage::Reply { ticket, answer }));
             }
@@ -112,36 +113,36 @@
 }
 
 #[test]
-fn a_leader_that_reads_the_ledger_is_not_sent_the_same_job_over_and_over() {
-    // Whether the instance hears first of the lead or that the ledger is being read.
+fn a_request_is_resent_only_a_few_times_while_the_leader_loads_the_ledger() {
+    // The first heartbeat may come before the leader begins to load the ledger, or while it does.
     for loading in [false, true] {
-        let mut instance = AskingInstance::new();
+        let mut instance = SubmittingInstance::new();
         instance.step(10, heartbeat(loading));
-        instance.hand_in(20);
-        instance.run_loading(40, READING_MS);
+        instance.submit(20);
+        instance.run_while_loading(40, LOADING_MS);
         let copies = instance.copies;
-        assert!(copies <= MOST_COPIES, "{copies} copies in {READING_MS} ms");
+        assert!(copies <= MAX_COPIES, "{copies} copies in {LOADING_MS} ms");
     }
 }
 
 #[test]
-fn a_request_goes_out_as_soon_as_the_leader_has_the_ledger() {
-    let mut instance = AskingInstance::new();
+fn a_request_is_sent_as_soon_as_the_leader_has_loaded_the_ledger() {
+    let mut instance = SubmittingInstance::new();
     instance.step(10, heartbeat(true));
-    instance.hand_in(20);
-    instance.run_loading(40, 1_000);
-    let before = instance.copies;
+    instance.submit(20);
+    instance.run_while_loading(40, 1_000);
+    let copies_before = instance.copies;
     instance.step(1_000, heartbeat(false));
     instance.step(1_000, CoreEvent::Tick);
-    assert_eq!(instance.copies, before + 1);
+    assert_eq!(instance.copies, copies_before + 1);
 }
 
 #[test]
-fn a_request_that_no_leader_took_up_in_time_is_refused_with_a_time_to_come_back() {
-    let mut instance = AskingInstance::new();
+fn a_request_that_no_leader_accepts_in_time_is_refused_with_a_retry_time() {
+    let mut instance = SubmittingInstance::new();
     instance.step(10, heartbeat(true));
-    instance.hand_in(20);
-    instance.run_loading(40, PATIENCE_MS);
+    instance.submit(20);
+    instance.run_while_loading(40, CALLER_TIMEOUT_MS);
     let answer = instance.answer;
     assert!(
         matches!(answer, Some(CallerAnswer::Refused { retry_ms, .. }) if retry_ms > 0),
--- a/crates/bankvalve_queue/tests/book.rs
+++ b/crates/bankvalve_queue/tests/book.rs
@@ -1,4 +1,4 @@
-//! What the ledger's events add up to.
+//! The state of jobs that a `JobBook` builds from the ledger's events.
 
 use std::sync::Arc;
 
@@ -17,7 +17,7 @@
     .task(index)
 }
 
-fn book_of(step: StepSpec) -> JobBook {
+fn book_with_step(step: StepSpec) -> JobBook {
     let spec = Arc::new(JobSpec {
         id: 1,
         steps: vec![step],
@@ -53,8 +53,8 @@
 }
 
 #[test]
-fn a_gangs_failure_counts_once_a_run_and_its_progress_is_good_for_all() {
-    let mut book = book_of(StepSpec {
+fn a_gangs_failure_counts_once_per_run_and_its_progress_is_shared() {
+    let mut book = book_with_step(StepSpec {
         count: 2,
         gang: true,
         ..StepSpec::default()
@@ -74,8 +74,8 @@
 }
 
 #[test]
-fn one_good_end_of_a_gang_stands_for_all() {
-    let mut book = book_of(StepSpec {
+fn one_successful_end_completes_a_gang() {
+    let mut book = book_with_step(StepSpec {
         count: 3,
         gang: true,
         ..StepSpec::default()
@@ -88,8 +88,8 @@
 }
 
 #[test]
-fn a_lasting_task_is_started_again_however_it_ends() {
-    let mut book = book_of(StepSpec {
+fn a_long_running_task_is_restarted_however_it_ends() {
+    let mut book = book_with_step(StepSpec {
         count: 1,
         lasting: true,
         ..StepSpec::default()
@@ -112,8 +112,8 @@
 }
 
 #[test]
-fn of_ends_of_earlier_runs_only_good_ones_count() {
-    let mut book = book_of(StepSpec {
+fn only_successful_ends_of_earlier_runs_count() {
+    let mut book = book_with_step(StepSpec {
         count: 1,
         ..StepSpec::default()
     });
@@ -126,7 +126,7 @@
         let job = book.job(1).expect("the job");
         assert_eq!(job.task(task(0)).expect("a task").saved, "part");
     }
-    // Its worker was silent, and now tells that it ended well.
+    // The worker of the first run was out of contact, and now reports that the run succeeded.
     end(&mut book, 0, 1, EndKind::Done, "");
     assert_eq!(state(&book), JobState::Succeeded);
     for how in [EndKind::Done, EndKind::Failed, EndKind::Stopped] {
@@ -136,8 +136,8 @@
 }
 
 #[test]
-fn a_late_good_end_of_a_gang_stands_for_all_members() {
-    let mut book = book_of(StepSpec {
+fn a_late_successful_end_completes_all_members_of_a_gang() {
+    let mut book = book_with_step(StepSpec {
         count: 3,
         gang: true,
         ..StepSpec::default()
@@ -154,8 +154,8 @@
 }
 
 #[test]
-fn a_job_that_was_not_kept_is_taken_back_and_may_come_again() {
-    let mut book = book_of(StepSpec {
+fn an_uncommitted_job_is_withdrawn_and_can_be_submitted_again() {
+    let mut book = book_with_step(StepSpec {
         count: 1,
         ..StepSpec::default()
     });
@@ -165,8 +165,8 @@
 }
 
 #[test]
-fn a_job_that_is_over_stays_as_it_ended() {
-    let mut book = book_of(StepSpec {
+fn an_ended_job_keeps_its_outcome() {
+    let mut book = book_with_step(StepSpec {
         count: 1,
         ..StepSpec::default()
     });
@@ -175,16 +175,16 @@
     start(&mut book, 0, 2);
     book.apply(&LedgerEvent::Cancelled { job: 1, at: 8 });
     assert_eq!(state(&book), JobState::Cancelled);
-    // Its last attempt fails while the run is being stopped.
+    // The last attempt of its task fails while the run is being stopped.
     end(&mut book, 0, 2, EndKind::Failed, "");
     assert_eq!(state(&book), JobState::Cancelled);
 }
 
 #[test]
-fn an_event_that_its_job_has_no_place_for_changes_nothing() {
-    // A leader that ended on one would hand it to the next, which reads the same ledger.
+fn an_event_for_a_task_that_its_job_does_not_have_changes_nothing() {
+    // If a leader crashed on such an event, each successor would crash too, since it reads the same ledger.
     let job = || {
-        book_of(StepSpec {
+        book_with_step(StepSpec {
             count: 2,
             ..StepSpec::default()
         })
@@ -221,16 +221,17 @@
 }
 
 #[test]
-fn a_good_end_counts_though_the_start_of_its_run_is_not_known() {
-    // Seen once: runs that had ended well were started again by later leaders; how their ends came to be
-    // missing was not traced. By reading: a leader whose book lacks the start of a run passed its good end
-    // over, and told the worker to forget it all the same. Only that leader's book says that the run was
-    // never started, and the worker's list is proof that it was, and that its work is done.
+fn a_successful_end_counts_even_if_the_start_of_its_run_is_unknown() {
+    // Guards against doing finished work again. This was seen once: later leaders restarted tasks whose runs
+    // had succeeded. Why the ends were missing was not traced. From the code: a leader whose book lacked the
+    // start of a run ignored its successful end, but still told the worker to forget that end. Only that
+    // leader's book says that the run never started. The worker's report proves that it did and that its
+    // work is done.
     let step = StepSpec {
         count: 2,
         ..StepSpec::default()
     };
-    let mut book = book_of(step);
+    let mut book = book_with_step(step);
     start(&mut book, 1, 1);
     end(&mut book, 0, 3, EndKind::Done, "");
     end(&mut book, 1, 2, EndKind::Done, "");
@@ -238,8 +239,8 @@
 }
 
 #[test]
-fn no_other_end_of_an_unknown_run_counts() {
-    let mut book = book_of(StepSpec {
+fn an_unsuccessful_end_of_an_unknown_run_does_not_count() {
+    let mut book = book_with_step(StepSpec {
         count: 1,
         ..StepSpec::default()
     });
@@ -256,26 +257,26 @@
 }
 
 #[test]
-fn an_end_that_an_earlier_version_kept_with_a_word_alone_makes_a_suspect_at_most() {
-    /// An end as it was kept: the evidence was a word.
+fn evidence_that_an_earlier_version_stored_as_one_word_is_never_proof() {
+    /// An end as an earlier version stored it, with a single word as evidence.
     #[derive(serde::Serialize)]
     enum EarlierEnd {
         Crashed(&'static str),
     }
-    let kept = rmp_serde::to_vec(&EarlierEnd::Crashed("Alone")).expect("it can be encoded");
-    let how: EndKind = rmp_serde::from_slice(&kept).expect("it can be read");
+    let stored = rmp_serde::to_vec(&EarlierEnd::Crashed("Alone")).expect("it can be encoded");
+    let how: EndKind = rmp_serde::from_slice(&stored).expect("it can be read");
     let EndKind::Crashed(evidence) = how else {
-        panic!("expected a worker's end, found {how:?}");
+        panic!("expected a crash, found {how:?}");
     };
     assert_eq!(evidence.weight, CrashWeight::Young);
     assert!(!evidence.confirmed);
-    let again: EndKind =
+    let decoded_again: EndKind =
         rmp_serde::from_slice(&rmp_serde::to_vec(&how).expect("it can be encoded"))
             .expect("it can be read");
-    assert_eq!(again, how);
+    assert_eq!(decoded_again, how);
 }
 
-/// A job as ledgers had it before jobs had customers.
+/// A job as the ledger stored it before jobs had customers.
 #[derive(Serialize)]
 struct FormerSpec {
     id: u64,
@@ -301,9 +302,9 @@
     events: Vec<FormerEvent>,
 }
 
-// Guards against jobs that are lost when a site begins to have customers.
+// Guards against losing jobs when a site introduces customers.
 #[test]
-fn a_ledger_from_before_there_were_customers_is_read_on() {
+fn a_ledger_written_before_there_were_customers_is_still_readable() {
     let spec = FormerSpec {
         id: 1,
         queue: "batch".into(),
@@ -324,7 +325,7 @@
 }
 
 #[test]
-fn a_jobs_customer_is_kept_in_the_ledger() {
+fn the_ledger_stores_a_jobs_customer() {
     let spec = Arc::new(JobSpec {
         id: 1,
         customer: Some("north".into()),
--- a/crates/bankvalve_queue/tests/config.rs
+++ b/crates/bankvalve_queue/tests/config.rs
@@ -1,4 +1,5 @@
-//! One instance alone and the operator's configuration: what it asks the table, and when.
+//! How a single instance reads the operator's configuration: which requests it sends to the table, and
+//! when.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -9,34 +10,34 @@
     RefusalReason, ResolvedRequest, StoreOutcome, StoreRequest, Ticket,
 };
 
-/// An instance and the time on its clock.
-struct Alone {
+/// A single instance, and the time on its clock in milliseconds.
+struct TestInstance {
     core: EntryCore,
     at_ms: u64,
 }
 
-impl Alone {
-    /// An instance that has read the first version at the table's version 10.
+impl TestInstance {
+    /// Creates an instance that has read version 1 of the configuration at the table's version 10.
     fn new() -> Self {
         Self::with_key_age_limit(None)
     }
 
-    /// The same, which takes up no requests with keys of which it has not known for so long that they
-    /// hold.
+    /// Creates such an instance with a limit on how long it accepts requests with a key after its
+    /// configuration was last known to be the newest.
     fn with_key_age_limit(key_age_limit: Option<Duration>) -> Self {
         let address = PeerAddress::from(([10, 0, 0, 1], 7_300));
         let core = EntryCore::new(EntrySettings {
             key_age_limit,
             ..EntrySettings::example(address)
         });
-        let mut alone = Self { core, at_ms: 0 };
-        let asked = requests(&alone.step(CoreEvent::Tick));
-        let (ticket, _) = asked
+        let mut instance = Self { core, at_ms: 0 };
+        let requested = config_requests(&instance.step(CoreEvent::Tick));
+        let (ticket, _) = requested
             .iter()
             .find(|(_, request)| *request == StoreRequest::ReadOperator)
             .expect("the configuration is read");
-        alone.answer(*ticket, news(Some(1), 10));
-        alone
+        instance.answer(*ticket, operator_outcome(Some(1), 10));
+        instance
     }
 
     fn step(&mut self, event: CoreEvent) -> Vec<CoreAction> {
@@ -48,8 +49,8 @@
         self.step(CoreEvent::Store { ticket, outcome })
     }
 
-    /// Lets time pass until a time, tick by tick.
-    fn pass_until(&mut self, until_ms: u64) -> Vec<CoreAction> {
+    /// Advances the clock to `until_ms` tick by tick, and returns the actions of all ticks.
+    fn run_until(&mut self, until_ms: u64) -> Vec<CoreAction> {
         let mut actions = Vec::new();
         while self.at_ms < until_ms {
             self.at_ms += 50;
@@ -58,20 +59,21 @@
         actions
     }
 
-    /// A peer tells of a version.
-    fn announce(&mut self, table_version: u64) {
-        let news = HeartbeatBody {
+    /// Delivers a heartbeat of a peer that has `table_version` in force.
+    fn announce_version(&mut self, table_version: u64) {
+        let body = HeartbeatBody {
             life: 9,
             table_version,
             ..HeartbeatBody::default()
         };
         self.step(CoreEvent::Peer {
             from: PeerAddress::from(([10, 0, 0, 2], 7_300)),
-            message: PeerMessage::Heartbeat(news),
+            message: PeerMessage::Heartbeat(body),
         });
     }
 
-    /// A caller with a key asks about a job; tells whether it is refused since the key may be gone.
+    /// Sends a caller's status request with a key, and returns whether it is refused because the key may
+    /// have been dropped.
     fn refuses_key(&mut self) -> bool {
         let ticket = self.core.new_ticket();
         let request = ResolvedRequest {
@@ -90,9 +92,10 @@
         })
     }
 
-    /// A peer has the same version and knew so long ago that it is the newest.
-    fn hear_of_newest(&mut self, table_version: u64, table_age_ms: u64) {
-        let news = HeartbeatBody {
+    /// Delivers a heartbeat of a peer that has `table_version` in force and knew `table_age_ms` ago that it
+    /// was the newest.
+    fn announce_newest(&mut self, table_version: u64, table_age_ms: u64) {
+        let body = HeartbeatBody {
             life: 9,
             table_version,
             table_age_ms: Some(table_age_ms),
@@ -100,12 +103,12 @@
         };
         self.step(CoreEvent::Peer {
             from: PeerAddress::from(([10, 0, 0, 2], 7_300)),
-            message: PeerMessage::Heartbeat(news),
+            message: PeerMessage::Heartbeat(body),
         });
     }
 
-    /// A caller asks for a queue that is not known.
-    fn look_up(&mut self) -> (Ticket, Vec<CoreAction>) {
+    /// Sends a caller's request for a queue that is not in the configuration.
+    fn request_unknown_queue(&mut self) -> (Ticket, Vec<CoreAction>) {
         let ticket = self.core.new_ticket();
         let patience_ms = 3_000;
         let actions = self.step(CoreEvent::RequestDenied {
@@ -118,7 +121,7 @@
     }
 }
 
-fn news(version: Option<u64>, at: u64) -> StoreOutcome {
+fn operator_outcome(version: Option<u64>, at: u64) -> StoreOutcome {
     let table = version.map(|version| QueueTable::new(version, Vec::new(), BTreeMap::new()));
     let raw = table.iter().map(|table| table.version as u8).collect();
     StoreOutcome::Operator {
@@ -127,15 +130,15 @@
     }
 }
 
-/// What was asked of the table about the configuration.
-fn requests(actions: &[CoreAction]) -> Vec<(Ticket, StoreRequest)> {
-    let asked = actions.iter().filter_map(|action| match action {
+/// Returns all reads and watches of the configuration that were sent to the table.
+fn config_requests(actions: &[CoreAction]) -> Vec<(Ticket, StoreRequest)> {
+    let requested = actions.iter().filter_map(|action| match action {
         CoreAction::Store {
             ticket, request, ..
         } => Some((*ticket, request.clone())),
         _ => None,
     });
-    asked
+    requested
         .filter(|(_, request)| {
             matches!(
                 request,
@@ -145,14 +148,14 @@
         .collect()
 }
 
-/// Questions, which the table answers at once.
-fn questions(actions: &[CoreAction]) -> Vec<(Ticket, StoreRequest)> {
-    let mut asked = requests(actions);
-    asked.retain(|(_, request)| match request {
+/// Returns the configuration requests that the table answers at once, so not the watches.
+fn config_queries(actions: &[CoreAction]) -> Vec<(Ticket, StoreRequest)> {
+    let mut requested = config_requests(actions);
+    requested.retain(|(_, request)| match request {
         StoreRequest::WatchOperator { wait_ms, .. } => *wait_ms <= 1,
         _ => true,
     });
-    asked
+    requested
 }
 
 fn answers(actions: &[CoreAction]) -> Vec<(Ticket, CallerAnswer)> {
@@ -163,74 +166,86 @@
     answered.collect()
 }
 
-fn logs(actions: &[CoreAction], event: &str) -> usize {
+fn count_log_lines(actions: &[CoreAction], event: &str) -> usize {
     let is_line = |action: &&CoreAction| matches!(action, CoreAction::Log(line) if line.part == "config" && line.event == event);
     actions.iter().filter(is_line).count()
 }
 
 #[test]
-fn one_question_serves_all_callers_that_came_before_it() {
-    let mut alone = Alone::new();
-    alone.pass_until(1_000);
-    let (first, actions) = alone.look_up();
-    let asked = questions(&actions);
-    let [(question, request)] = asked.as_slice() else {
-        panic!("expected one question, found {asked:?}");
+fn one_query_serves_all_callers_that_came_before_it() {
+    let mut instance = TestInstance::new();
+    instance.run_until(1_000);
+    let (first, actions) = instance.request_unknown_queue();
+    let requested = config_queries(&actions);
+    let [(query, request)] = requested.as_slice() else {
+        panic!("expected one query, found {requested:?}");
     };
     assert!(matches!(
         request,
         StoreRequest::WatchOperator { after: 10, .. }
     ));
-    alone.at_ms += 1;
-    let later: Vec<Ticket> = (0..100)
+    instance.at_ms += 1;
+    let later_callers: Vec<Ticket> = (0..100)
         .map(|_| {
-            let (ticket, actions) = alone.look_up();
-            assert_eq!(questions(&actions), []);
+            let (ticket, actions) = instance.request_unknown_queue();
+            assert_eq!(config_queries(&actions), []);
             ticket
         })
         .collect();
-    // What the table said before they asked does not tell them.
-    let ended = alone.answer(*question, news(None, 12));
-    assert_eq!(answers(&ended), [(first, CallerAnswer::TableIsNewest)]);
-    let named = |action: &CoreAction| matches!(action, CoreAction::Log(line) if line.event == "no_queue" && line.id == "host/added/");
-    assert!(ended.iter().any(named), "the log names what was asked for");
-    let actions = alone.pass_until(1_200);
-    let asked = questions(&actions);
-    let [(question, _)] = asked.as_slice() else {
-        panic!("expected one question, found {asked:?}");
+    // The answer to a query does not serve callers that came after the query was sent.
+    let after_answer = instance.answer(*query, operator_outcome(None, 12));
+    assert_eq!(
+        answers(&after_answer),
+        [(first, CallerAnswer::TableIsNewest)]
+    );
+    let names_queue = |action: &CoreAction| matches!(action, CoreAction::Log(line) if line.event == "no_queue" && line.id == "host/added/");
+    assert!(
+        after_answer.iter().any(names_queue),
+        "the log names the requested queue"
+    );
+    let actions = instance.run_until(1_200);
+    let requested = config_queries(&actions);
+    let [(query, _)] = requested.as_slice() else {
+        panic!("expected one query, found {requested:?}");
     };
-    let ended = alone.answer(*question, news(Some(4), 15));
-    let told: Vec<Ticket> = answers(&ended).iter().map(|(ticket, _)| *ticket).collect();
-    assert_eq!(told, later);
-    assert_eq!(alone.core.table_version(), 4);
+    let after_answer = instance.answer(*query, operator_outcome(Some(4), 15));
+    let answered_tickets: Vec<Ticket> = answers(&after_answer)
+        .iter()
+        .map(|(ticket, _)| *ticket)
+        .collect();
+    assert_eq!(answered_tickets, later_callers);
+    assert_eq!(instance.core.table_version(), 4);
 }
 
 #[test]
-fn a_forgotten_history_has_the_configuration_read_whole_at_once() {
-    let mut alone = Alone::new();
-    alone.pass_until(1_000);
-    let (ticket, actions) = alone.look_up();
-    let (question, _) = questions(&actions)[0];
-    let actions = alone.answer(question, StoreOutcome::HistoryGone);
+fn the_complete_configuration_is_read_at_once_if_the_table_has_dropped_its_history() {
+    let mut instance = TestInstance::new();
+    instance.run_until(1_000);
+    let (ticket, actions) = instance.request_unknown_queue();
+    let (query, _) = config_queries(&actions)[0];
+    let actions = instance.answer(query, StoreOutcome::HistoryGone);
     assert_eq!(answers(&actions), []);
-    let (whole, _) = requests(&actions)
+    let (complete_read, _) = config_requests(&actions)
         .into_iter()
         .find(|(_, request)| *request == StoreRequest::ReadOperator)
-        .expect("it is read whole");
-    let mut ended = alone.answer(whole, news(Some(1), 30));
-    // Whichever request read it, a question that came after the caller tells it.
-    if answers(&ended).is_empty() {
-        let actions = alone.pass_until(1_100);
-        let (question, _) = questions(&actions)[0];
-        ended = alone.answer(question, news(None, 30));
+        .expect("the complete configuration is read");
+    let mut after_answer = instance.answer(complete_read, operator_outcome(Some(1), 30));
+    // If the watch sent this read, a later query answers the caller.
+    if answers(&after_answer).is_empty() {
+        let actions = instance.run_until(1_100);
+        let (query, _) = config_queries(&actions)[0];
+        after_answer = instance.answer(query, operator_outcome(None, 30));
     }
-    assert_eq!(answers(&ended), [(ticket, CallerAnswer::TableIsNewest)]);
+    assert_eq!(
+        answers(&after_answer),
+        [(ticket, CallerAnswer::TableIsNewest)]
+    );
 }
 
 #[test]
-fn a_configuration_that_cannot_be_read_is_logged_and_asked_for_again() {
-    let mut alone = Alone::new();
-    let watches = requests(&alone.pass_until(1_000));
+fn an_unreadable_configuration_is_logged_and_requested_again() {
+    let mut instance = TestInstance::new();
+    let watches = config_requests(&instance.run_until(1_000));
     let (watch, _) = watches[0];
     let unreadable = StoreOutcome::Operator {
         news: OperatorNews {
@@ -239,22 +254,25 @@
         },
         version: 20,
     };
-    let actions = alone.answer(watch, unreadable.clone());
-    assert_eq!(logs(&actions, "unreadable"), 1);
-    // A caller is not told that the configuration is the newest.
-    let (_, actions) = alone.look_up();
-    let (question, _) = questions(&actions)[0];
-    let actions = alone.answer(question, unreadable);
+    let actions = instance.answer(watch, unreadable.clone());
+    assert_eq!(count_log_lines(&actions, "unreadable"), 1);
+    // A caller is not denied, since the configuration in force may not be the newest.
+    let (_, actions) = instance.request_unknown_queue();
+    let (query, _) = config_queries(&actions)[0];
+    let actions = instance.answer(query, unreadable);
     assert_eq!(answers(&actions), []);
-    let actions = alone.pass_until(3_500);
+    let actions = instance.run_until(3_500);
     let refused = answers(&actions);
     assert!(matches!(
         refused.as_slice(),
         [(_, CallerAnswer::Refused { .. })]
     ));
-    let asked = requests(&actions);
-    assert!(!asked.is_empty() && asked.len() <= 3, "{asked:?}");
-    for (_, request) in asked {
+    let requested = config_requests(&actions);
+    assert!(
+        !requested.is_empty() && requested.len() <= 3,
+        "{requested:?}"
+    );
+    for (_, request) in requested {
         assert!(matches!(
             request,
             StoreRequest::WatchOperator { after: 10, .. }
@@ -263,37 +281,41 @@
 }
 
 #[test]
-fn a_watch_of_which_nothing_is_told_is_begun_anew() {
-    let mut alone = Alone::new();
-    let before = requests(&alone.pass_until(1_000));
+fn a_watch_whose_result_is_never_reported_is_restarted() {
+    let mut instance = TestInstance::new();
+    let before = config_requests(&instance.run_until(1_000));
     assert_eq!(before.len(), 1);
-    let after = requests(&alone.pass_until(16_000));
-    assert!(!after.is_empty(), "the configuration is never asked for");
+    let after = config_requests(&instance.run_until(16_000));
+    assert!(
+        !after.is_empty(),
+        "the configuration is never requested again"
+    );
 }
 
 #[test]
-fn an_answer_that_is_arriving_is_not_asked_for_again() {
-    let mut alone = Alone::new();
-    let watches = requests(&alone.pass_until(1_000));
+fn an_answer_that_is_arriving_is_not_requested_again() {
+    let mut instance = TestInstance::new();
+    let watches = config_requests(&instance.run_until(1_000));
     let (watch, _) = watches[0];
-    alone.step(CoreEvent::StoreBegins { ticket: watch });
-    alone.announce(2);
-    let actions = alone.pass_until(2_500);
-    assert_eq!(requests(&actions), []);
-    alone.answer(watch, news(Some(2), 40));
-    assert_eq!(alone.core.table_version(), 2);
+    instance.step(CoreEvent::StoreBegins { ticket: watch });
+    instance.announce_version(2);
+    let actions = instance.run_until(2_500);
+    assert_eq!(config_requests(&actions), []);
+    instance.answer(watch, operator_outcome(Some(2), 40));
+    assert_eq!(instance.core.table_version(), 2);
 }
 
 #[test]
-fn a_newer_version_that_a_peer_tells_of_is_asked_for_beside_the_watch() {
-    let mut alone = Alone::new();
-    alone.pass_until(1_000);
-    alone.announce(2);
-    let actions = alone.pass_until(1_400);
-    assert_eq!(questions(&actions).len(), 1);
-    // It is not asked for twice at once, and a peer only once the table has been silent.
-    let wanted = |actions: &[CoreAction]| {
-        let is_wanted = |action: &&CoreAction| {
+fn a_newer_version_that_a_peer_announces_is_queried_in_addition_to_the_watch() {
+    let mut instance = TestInstance::new();
+    instance.run_until(1_000);
+    instance.announce_version(2);
+    let actions = instance.run_until(1_400);
+    assert_eq!(config_queries(&actions).len(), 1);
+    // Only one query is in flight at a time. Peers are asked only when the table has not answered for a
+    // while.
+    let count_table_wanted = |actions: &[CoreAction]| {
+        let is_table_wanted = |action: &&CoreAction| {
             matches!(
                 action,
                 CoreAction::Peer {
@@ -302,49 +324,49 @@
                 }
             )
         };
-        actions.iter().filter(is_wanted).count()
+        actions.iter().filter(is_table_wanted).count()
     };
-    assert_eq!(wanted(&actions), 0);
-    let actions = alone.pass_until(1_850);
-    assert_eq!(questions(&actions).len(), 0);
-    assert_eq!(wanted(&actions), 1);
+    assert_eq!(count_table_wanted(&actions), 0);
+    let actions = instance.run_until(1_850);
+    assert_eq!(config_queries(&actions).len(), 0);
+    assert_eq!(count_table_wanted(&actions), 1);
 }
 
 #[test]
-fn after_a_version_that_is_old_already_one_request_is_on_its_way() {
-    let mut alone = Alone::new();
-    let (watch, _) = requests(&alone.pass_until(1_000))[0];
-    alone.step(CoreEvent::StoreBegins { ticket: watch });
-    alone.announce(3);
-    alone.pass_until(2_000);
-    alone.answer(watch, news(Some(2), 20));
-    // Some 0.3 s later the watch goes on; a question beside it would have the row come twice.
-    let asked = requests(&alone.pass_until(2_500));
-    let [(watch, _)] = asked.as_slice() else {
-        panic!("expected one request, found {asked:?}");
+fn after_a_version_that_is_already_outdated_only_one_request_is_in_flight() {
+    let mut instance = TestInstance::new();
+    let (watch, _) = config_requests(&instance.run_until(1_000))[0];
+    instance.step(CoreEvent::StoreBegins { ticket: watch });
+    instance.announce_version(3);
+    instance.run_until(2_000);
+    instance.answer(watch, operator_outcome(Some(2), 20));
+    // The watch continues about 0.3 s later. A query in addition to it would transfer the row twice.
+    let requested = config_requests(&instance.run_until(2_500));
+    let [(watch, _)] = requested.as_slice() else {
+        panic!("expected one request, found {requested:?}");
     };
-    alone.answer(*watch, news(Some(3), 30));
-    assert_eq!(alone.core.table_version(), 3);
+    instance.answer(*watch, operator_outcome(Some(3), 30));
+    assert_eq!(instance.core.table_version(), 3);
 }
 
-// Guards against keys that hold for ever on an instance that hears nothing, where the operator wants
-// such an instance to refuse.
+// Guards against an instance out of contact that accepts keys forever, although the operator wants such an
+// instance to refuse them.
 #[test]
-fn a_strict_instance_takes_up_no_key_of_which_it_has_not_heard_for_long() {
+fn a_strict_instance_refuses_keys_that_have_not_been_confirmed_for_long() {
     let limit = Duration::from_secs(5);
-    let mut strict = Alone::with_key_age_limit(Some(limit));
-    let mut lenient = Alone::new();
-    for alone in [&mut strict, &mut lenient] {
-        alone.pass_until(4_000);
-        assert!(!alone.refuses_key());
-        alone.pass_until(8_000);
+    let mut strict = TestInstance::with_key_age_limit(Some(limit));
+    let mut lenient = TestInstance::new();
+    for instance in [&mut strict, &mut lenient] {
+        instance.run_until(4_000);
+        assert!(!instance.refuses_key());
+        instance.run_until(8_000);
     }
     assert!(strict.refuses_key() && !lenient.refuses_key());
-    strict.hear_of_newest(2, 100);
+    strict.announce_newest(2, 100);
     assert!(
         strict.refuses_key(),
-        "the word of a peer with another version"
+        "a peer with another version does not confirm the keys"
     );
-    strict.hear_of_newest(1, 100);
+    strict.announce_newest(1, 100);
     assert!(!strict.refuses_key());
 }
--- a/crates/bankvalve_queue/tests/crashes.rs
+++ b/crates/bankvalve_queue/tests/crashes.rs
@@ -1,13 +1,20 @@
-//! Workers that ended under a task: what counts as proof against it.
+//! Evidence against a task under which workers ended, and when it is conclusive.
 
 use bankvalve_queue::{CrashCount, CrashEnd, CrashEvidence, CrashWeight};
 
-fn note(count: &mut CrashCount, worker: &str, run: u64, weight: CrashWeight) {
-    note_age(count, worker, run, weight, 60);
+/// Records that a worker ended 60 ms after the run was ordered.
+fn record_end(count: &mut CrashCount, worker: &str, run: u64, weight: CrashWeight) {
+    record_end_at_age(count, worker, run, weight, 60);
 }
 
-/// Notes the end of a worker so many milliseconds after the order.
-fn note_age(count: &mut CrashCount, worker: &str, run: u64, weight: CrashWeight, age_ms: u32) {
+/// Records that a worker ended `age_ms` milliseconds after the run was ordered.
+fn record_end_at_age(
+    count: &mut CrashCount,
+    worker: &str,
+    run: u64,
+    weight: CrashWeight,
+    age_ms: u32,
+) {
     let evidence = CrashEvidence {
         weight,
         confirmed: true,
@@ -25,82 +32,84 @@
     });
 }
 
-/// Guards against a job that is given up for a worker which ends again and again by itself.
+/// Guards against failing a job because one worker ends repeatedly for reasons unrelated to the task.
 #[test]
-fn ends_of_one_worker_are_one_proof() {
+fn ends_of_one_worker_count_as_one_proof() {
     for weight in [CrashWeight::Young, CrashWeight::Proof] {
         let mut count = CrashCount::default();
-        note(&mut count, "w-1", 1, weight);
+        record_end(&mut count, "w-1", 1, weight);
         for run in 2..10 {
-            note(&mut count, "w-1", run, CrashWeight::Proof);
+            record_end(&mut count, "w-1", run, CrashWeight::Proof);
             assert!(!count.is_conclusive(), "{run} ends of one worker");
         }
     }
 }
 
 #[test]
-fn ends_of_two_workers_are_two_proofs() {
+fn proofs_from_two_workers_are_conclusive() {
     let mut count = CrashCount::default();
-    note(&mut count, "w-1", 1, CrashWeight::Young);
-    note(&mut count, "w-2", 2, CrashWeight::Proof);
-    note(&mut count, "w-2", 3, CrashWeight::Proof);
+    record_end(&mut count, "w-1", 1, CrashWeight::Young);
+    record_end(&mut count, "w-2", 2, CrashWeight::Proof);
+    record_end(&mut count, "w-2", 3, CrashWeight::Proof);
     assert!(!count.is_conclusive());
-    note(&mut count, "w-3", 4, CrashWeight::Proof);
+    record_end(&mut count, "w-3", 4, CrashWeight::Proof);
     assert!(count.is_conclusive());
 }
 
-/// Guards against a third start after three workers have ended, some of whose ends nobody told.
+/// Guards against a third start of a task after three workers have ended under it. The ends of some of them
+/// were not reported.
 #[test]
-fn a_task_with_proof_is_given_up_before_its_third_start_after_three_ends() {
-    for untold in 0..3 {
+fn evidence_with_a_proof_is_conclusive_before_the_third_start_after_three_ends() {
+    for unreported in 0..3 {
         let mut count = CrashCount::default();
-        note(&mut count, "w-1", 1, CrashWeight::Weak);
+        record_end(&mut count, "w-1", 1, CrashWeight::Weak);
         count.note_run(1, true);
         for run in 2..4 {
-            if run < 4 - untold {
-                note(&mut count, &format!("w-{run}"), run, CrashWeight::Young);
+            if run < 4 - unreported {
+                record_end(&mut count, &format!("w-{run}"), run, CrashWeight::Young);
             }
-            count.note_run(run, run < 4 - untold);
+            count.note_run(run, run < 4 - unreported);
         }
         assert!(!count.is_conclusive());
-        note(&mut count, "w-4", 4, CrashWeight::Proof);
+        record_end(&mut count, "w-4", 4, CrashWeight::Proof);
         count.note_run(4, true);
         assert!(
             !count.is_conclusive(),
-            "one start after three, {untold} untold"
+            "one start after three ends, {unreported} of them not reported"
         );
         count.note_run(5, true);
         assert!(
             count.is_conclusive(),
-            "two starts after three, {untold} untold"
+            "two starts after three ends, {unreported} of them not reported"
         );
     }
 }
 
-/// Guards against a healthy task that is given up for workers which ended at unlike ages.
+/// Guards against failing the job of a healthy task because of workers that ended at different ages of the
+/// run. A task that ends its workers usually does so at about the same age.
 #[test]
-fn ends_at_unlike_ages_grant_a_task_more_starts() {
+fn ends_at_different_ages_allow_a_task_more_starts() {
     for (first_age_ms, is_conclusive) in [(60, true), (500, true), (7_900, false)] {
         let mut count = CrashCount::default();
-        note_age(&mut count, "w-1", 1, CrashWeight::Weak, first_age_ms);
-        note(&mut count, "w-2", 2, CrashWeight::Young);
-        note(&mut count, "w-3", 3, CrashWeight::Proof);
+        record_end_at_age(&mut count, "w-1", 1, CrashWeight::Weak, first_age_ms);
+        record_end(&mut count, "w-2", 2, CrashWeight::Young);
+        record_end(&mut count, "w-3", 3, CrashWeight::Proof);
         count.note_run(4, true);
         count.note_run(5, true);
         assert_eq!(
             count.is_conclusive(),
             is_conclusive,
-            "the first ended at {first_age_ms} ms"
+            "the first worker ended at an age of {first_age_ms} ms"
         );
     }
 }
 
-/// Guards against a healthy task that is given up for runs which were stopped.
+/// Guards against failing the job of a healthy task because of runs that were stopped.
 #[test]
-fn runs_that_were_stopped_are_no_proof() {
+fn stopped_runs_are_no_proof() {
     let mut count = CrashCount::default();
     for run in 1..4 {
-        note(&mut count, &format!("w-{run}"), run, CrashWeight::Weak);
+        record_end(&mut count, &format!("w-{run}"), run, CrashWeight::Weak);
         count.note_run(run, true);
     }
     for run in 4..10 {
--- a/crates/bankvalve_queue/tests/entry.rs
+++ b/crates/bankvalve_queue/tests/entry.rs
@@ -1,4 +1,4 @@
-//! One instance alone: what it sends, and what it takes for an answer.
+//! A single instance: which requests it sends and logs, and which answers it accepts.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,7 +12,7 @@
     PeerAddress::from(([10, 0, 0, last], 7_300))
 }
 
-fn core_of_life(life: u64) -> EntryCore {
+fn core_with_life(life: u64) -> EntryCore {
     let mut settings = EntrySettings::example(address(1));
     settings.life = life;
     EntryCore::new(settings)
@@ -20,15 +20,15 @@
 
 /// An instance that follows a leader at another address.
 fn follower(life: u64) -> EntryCore {
-    let mut core = core_of_life(life);
-    let news = HeartbeatBody {
+    let mut core = core_with_life(life);
+    let body = HeartbeatBody {
         life: 9,
         epoch: 4,
         leader: Some(address(2)),
         leading: true,
         ..HeartbeatBody::default()
     };
-    let message = PeerMessage::Heartbeat(news);
+    let message = PeerMessage::Heartbeat(body);
     let event = CoreEvent::Peer {
         from: address(2),
         message,
@@ -37,8 +37,8 @@
     core
 }
 
-/// Hands a request in and returns its ticket and that of the question to the leader.
-fn ask(core: &mut EntryCore) -> (Ticket, Ticket) {
+/// Sends a caller's status request. Returns its ticket, and the ticket of the request to the leader.
+fn request_status(core: &mut EntryCore) -> (Ticket, Ticket) {
     let ticket = core.new_ticket();
     let request = ResolvedRequest {
         caller: Default::default(),
@@ -48,22 +48,25 @@
     };
     let event = CoreEvent::Caller { ticket, request };
     let actions = core.step(Duration::from_millis(20), 1_010, event);
-    let asked = actions.iter().find_map(|action| match action {
+    let leader_ticket = actions.iter().find_map(|action| match action {
         CoreAction::Peer {
             message: PeerMessage::Ask { ticket, .. },
             ..
         } => Some(*ticket),
         _ => None,
     });
-    (ticket, asked.expect("the leader is asked"))
+    (
+        ticket,
+        leader_ticket.expect("the request is sent to the leader"),
+    )
 }
 
 #[test]
-fn an_answer_to_an_earlier_life_is_nobodys() {
-    let (_, asked_before) = ask(&mut follower(1_000));
+fn an_answer_to_an_earlier_incarnation_is_ignored() {
+    let (_, former_ticket) = request_status(&mut follower(1_000));
     let mut core = follower(1_001);
-    let (ticket, asked) = ask(&mut core);
-    assert_ne!(asked_before, asked);
+    let (ticket, leader_ticket) = request_status(&mut core);
+    assert_ne!(former_ticket, leader_ticket);
     let reply = |ticket, state| CoreEvent::Peer {
         from: address(2),
         message: PeerMessage::Reply {
@@ -72,20 +75,20 @@
         },
     };
     let at = Duration::from_millis(30);
-    let late = core.step(at, 1_020, reply(asked_before, JobState::Failed));
+    let late = core.step(at, 1_020, reply(former_ticket, JobState::Failed));
     assert!(!late
         .iter()
         .any(|action| matches!(action, CoreAction::Answer { .. })));
-    let own = core.step(at, 1_020, reply(asked, JobState::Running));
-    let answered = own.iter().any(|action| {
+    let current = core.step(at, 1_020, reply(leader_ticket, JobState::Running));
+    let answered = current.iter().any(|action| {
         matches!(action, CoreAction::Answer { ticket: to, answer: CallerAnswer::State(JobState::Running) } if *to == ticket)
     });
     assert!(answered);
 }
 
 #[test]
-fn without_a_leader_a_request_is_refused_with_a_time_to_come_back() {
-    let mut core = core_of_life(1);
+fn a_request_without_a_leader_is_refused_with_a_retry_time() {
+    let mut core = core_with_life(1);
     let ticket = core.new_ticket();
     let spec = Arc::default();
     let request = ResolvedRequest {
@@ -106,8 +109,8 @@
 }
 
 #[test]
-fn an_instance_without_a_leader_says_once_a_second_what_it_waits_for() {
-    let mut core = core_of_life(3);
+fn an_instance_without_a_leader_logs_once_a_second_what_it_waits_for() {
+    let mut core = core_with_life(3);
     let mut lines = Vec::new();
     for tick in 0..100 {
         let now = Duration::from_millis(50 * tick);
@@ -122,28 +125,28 @@
     assert!(core.view().leaderless_ms >= 4_900);
 }
 
-/// Lines that an instance logs for an event of a part.
+/// Returns the ids and details of the lines logged for an event of a part.
 fn lines(actions: &[CoreAction], part: &str, event: &str) -> Vec<(String, String)> {
-    let wanted = |action: &CoreAction| match action {
+    let id_and_detail = |action: &CoreAction| match action {
         CoreAction::Log(line) if line.part == part && line.event == event => {
             Some((line.id.clone(), line.detail.clone()))
         }
         _ => None,
     };
-    actions.iter().filter_map(wanted).collect()
+    actions.iter().filter_map(id_and_detail).collect()
 }
 
 #[test]
-fn a_request_that_is_given_up_is_logged_with_its_job_and_its_leader() {
+fn a_request_that_times_out_is_logged_with_its_job_and_its_leader() {
     let mut core = follower(1_000);
-    ask(&mut core);
-    let mut given_up = Vec::new();
+    request_status(&mut core);
+    let mut timed_out = Vec::new();
     for at_ms in (50..3_000).step_by(50) {
         let actions = core.step(Duration::from_millis(at_ms), 1_000 + at_ms, CoreEvent::Tick);
-        given_up.extend(lines(&actions, "callers", "give_up"));
+        timed_out.extend(lines(&actions, "callers", "give_up"));
     }
-    let [(job, detail)] = given_up.as_slice() else {
-        panic!("expected one line, found {given_up:?}");
+    let [(job, detail)] = timed_out.as_slice() else {
+        panic!("expected one line, found {timed_out:?}");
     };
     assert_eq!(job, "0000000000000007");
     assert!(detail.starts_with("status after"), "{detail}");
@@ -152,29 +155,32 @@
 }
 
 #[test]
-fn why_an_instance_is_not_ready_is_logged_once() {
-    let mut core = core_of_life(1);
-    let mut told = Vec::new();
+fn the_reason_why_an_instance_is_not_ready_is_logged_once() {
+    let mut core = core_with_life(1);
+    let mut not_ready_lines = Vec::new();
     for at_ms in [10, 60, 110] {
         let actions = core.step(Duration::from_millis(at_ms), at_ms, CoreEvent::Tick);
-        told.extend(lines(&actions, "entry", "not_ready"));
+        not_ready_lines.extend(lines(&actions, "entry", "not_ready"));
     }
-    assert_eq!(told.len(), 1);
-    assert!(told[0].1.starts_with("no configuration"), "{told:?}");
+    assert_eq!(not_ready_lines.len(), 1);
+    assert!(
+        not_ready_lines[0].1.starts_with("no configuration"),
+        "{not_ready_lines:?}"
+    );
 }
 
 #[test]
-fn a_question_to_the_table_of_whose_end_no_word_comes_is_asked_again() {
-    let mut core = core_of_life(4);
-    let mut members_asked = 0;
+fn a_store_request_whose_result_is_never_reported_is_sent_again() {
+    let mut core = core_with_life(4);
+    let mut member_reads = 0;
     for tick in 0..200 {
         let now = Duration::from_millis(50 * tick);
         for action in core.step(now, 1_000, CoreEvent::Tick) {
             if let CoreAction::Store { request, .. } = action {
                 let read = matches!(request, StoreRequest::Read { part, .. } if part == "member");
-                members_asked += u32::from(read);
+                member_reads += u32::from(read);
             }
         }
     }
-    assert!(members_asked >= 3, "asked {members_asked} times in 10 s");
+    assert!(member_reads >= 3, "{member_reads} reads in 10 s");
 }
--- a/crates/bankvalve_queue/tests/jobs.rs
+++ b/crates/bankvalve_queue/tests/jobs.rs
@@ -1,4 +1,4 @@
-//! Jobs that are refused when they are handed in, since no leader could bear them.
+//! Jobs that are rejected at submission because a leader or the ledger could not hold them.
 
 use bankvalve_queue::{JobSpec, StepSpec};
 
@@ -10,7 +10,7 @@
     }
 }
 
-fn problem_of(steps: Vec<StepSpec>) -> Option<&'static str> {
+fn field_with_problem(steps: Vec<StepSpec>) -> Option<&'static str> {
     let job = JobSpec {
         steps,
         ..JobSpec::default()
@@ -19,28 +19,34 @@
 }
 
 #[test]
-fn a_job_of_more_tasks_than_a_small_instance_holds_is_refused() {
-    assert_eq!(problem_of(vec![step(10_000); 2]), None);
-    assert_eq!(problem_of(vec![step(10_000); 3]), Some("steps"));
+fn a_job_with_more_tasks_than_a_small_instance_can_hold_is_rejected() {
+    assert_eq!(field_with_problem(vec![step(10_000); 2]), None);
+    assert_eq!(field_with_problem(vec![step(10_000); 3]), Some("steps"));
 }
 
 #[test]
-fn a_job_that_no_row_of_the_ledger_holds_is_refused() {
-    assert_eq!(problem_of(vec![step(1); 300]), None);
-    assert_eq!(problem_of(vec![step(1); 1_000]), Some("steps"));
-    let wordy = StepSpec {
+fn a_job_that_does_not_fit_into_a_ledger_row_is_rejected() {
+    assert_eq!(field_with_problem(vec![step(1); 300]), None);
+    assert_eq!(field_with_problem(vec![step(1); 1_000]), Some("steps"));
+    let with_long_image = StepSpec {
         image: "x".repeat(60_000),
         ..step(1)
     };
-    assert_eq!(problem_of(vec![wordy]), Some("steps"));
+    assert_eq!(field_with_problem(vec![with_long_image]), Some("steps"));
 }
 
 #[test]
-fn a_guess_that_overflows_what_is_reckoned_with_it_is_refused() {
-    let long = |estimate_ms| StepSpec {
+fn an_estimate_that_would_overflow_calculations_is_rejected() {
+    let with_estimate = |estimate_ms| StepSpec {
         estimate_ms,
         ..step(1)
     };
-    assert_eq!(problem_of(vec![long(30 * 86_400_000)]), None);
-    assert_eq!(problem_of(vec![long(u64::MAX)]), Some("estimate"));
+    assert_eq!(
+        field_with_problem(vec![with_estimate(30 * 86_400_000)]),
+        None
+    );
+    assert_eq!(
+        field_with_problem(vec![with_estimate(u64::MAX)]),
+        Some("estimate")
+    );
 }
--- a/crates/bankvalve_queue/tests/refusal.rs
+++ b/crates/bankvalve_queue/tests/refusal.rs
@@ -1,4 +1,4 @@
-//! Refusals, which say that a job surely never runs.
+//! Refusals: a caller that receives one can be certain that its job never runs.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,18 +13,19 @@
     PeerAddress::from(([10, 0, 0, last], 7_300))
 }
 
-/// An instance beside a table that is empty at first and answers at once, but for the ledger's
-/// batches, which are held.
-struct Served {
+/// An instance with a simulated table. The table is empty at first and answers at once, except writes of
+/// ledger batches, which the test answers itself.
+struct InstanceWithTable {
     core: EntryCore,
     at_ms: u64,
-    held: Vec<Ticket>,
+    /// Writes of ledger batches that have no answer yet.
+    unanswered_batches: Vec<Ticket>,
     rows: Vec<StoredRow>,
-    /// Messages to peers and answers to callers.
-    out: Vec<CoreAction>,
+    /// Messages to peers, answers to callers, and all other actions that are not requests to the table.
+    other_actions: Vec<CoreAction>,
 }
 
-impl Served {
+impl InstanceWithTable {
     fn step(&mut self, event: CoreEvent) {
         let mut events = vec![event];
         while let Some(event) = events.pop() {
@@ -34,12 +35,12 @@
                     ticket, request, ..
                 } = action
                 else {
-                    self.out.push(action);
+                    self.other_actions.push(action);
                     continue;
                 };
                 let outcome = match request {
-                    StoreRequest::Transact { ref writes, .. } if is_batch(writes) => {
-                        self.held.push(ticket);
+                    StoreRequest::Transact { ref writes, .. } if writes_batch(writes) => {
+                        self.unanswered_batches.push(ticket);
                         continue;
                     }
                     StoreRequest::Transact { writes, .. } => {
@@ -68,7 +69,7 @@
         }
     }
 
-    fn pass(&mut self, span_ms: u64) {
+    fn run_for(&mut self, span_ms: u64) {
         let until = self.at_ms + span_ms;
         while self.at_ms < until {
             self.at_ms += 10;
@@ -77,14 +78,14 @@
     }
 
     fn answer_to(&self, wanted: Ticket) -> Option<&CallerAnswer> {
-        self.out.iter().find_map(|action| match action {
+        self.other_actions.iter().find_map(|action| match action {
             CoreAction::Answer { ticket, answer } if *ticket == wanted => Some(answer),
             _ => None,
         })
     }
 }
 
-fn is_batch(writes: &[RowWrite]) -> bool {
+fn writes_batch(writes: &[RowWrite]) -> bool {
     writes.iter().any(|write| write.key.table == "ledger")
 }
 
@@ -108,54 +109,64 @@
 }
 
 #[test]
-fn a_late_refusal_by_the_leader_before_does_not_refuse_what_this_one_keeps() {
-    let mut served = Served {
+fn a_late_refusal_by_the_former_leader_does_not_refuse_a_job_that_this_leader_commits() {
+    let mut instance = InstanceWithTable {
         core: EntryCore::new(EntrySettings::example(address(1))),
         at_ms: 0,
-        held: Vec::new(),
+        unanswered_batches: Vec::new(),
         rows: Vec::new(),
-        out: Vec::new(),
+        other_actions: Vec::new(),
     };
-    served.pass(50);
-    let news = HeartbeatBody {
+    instance.run_for(50);
+    let body = HeartbeatBody {
         life: 9,
         epoch: 4,
         leader: Some(address(2)),
         leading: true,
         ..HeartbeatBody::default()
     };
-    served.step(CoreEvent::Peer {
+    instance.step(CoreEvent::Peer {
         from: address(2),
-        message: PeerMessage::Heartbeat(news),
+        message: PeerMessage::Heartbeat(body),
     });
-    let ticket = served.core.new_ticket();
+    let ticket = instance.core.new_ticket();
     let request = submission();
-    served.step(CoreEvent::Caller { ticket, request });
-    let is_asked = |action: &CoreAction| {
+    instance.step(CoreEvent::Caller { ticket, request });
+    let is_sent_to_leader = |action: &CoreAction| {
         let to_leader = matches!(action, CoreAction::Peer { to, .. } if *to == address(2));
-        let ask = matches!(
+        let is_request = matches!(
             action,
             CoreAction::Peer {
                 message: PeerMessage::Ask { .. },
                 ..
             }
         );
-        to_leader && ask
+        to_leader && is_request
     };
-    assert!(served.out.iter().any(is_asked), "the leader is asked");
-    // The leader is gone, so this one leads and takes the job up itself.
-    served.step(CoreEvent::PeerUnreached {
+    assert!(
+        instance.other_actions.iter().any(is_sent_to_leader),
+        "the request is sent to the leader"
+    );
+    // The leader is unreachable, so this instance takes over leadership and serves the request itself.
+    instance.step(CoreEvent::PeerUnreached {
         peer: address(2),
         refused: true,
     });
-    while !served.core.view().leading {
-        assert!(served.at_ms < 10_000, "it does not lead");
-        served.pass(10);
+    while !instance.core.view().leading {
+        assert!(
+            instance.at_ms < 10_000,
+            "the instance does not become the leader"
+        );
+        instance.run_for(10);
     }
-    served.pass(200);
-    assert_eq!(served.held.len(), 1, "the job is being kept");
-    // What the one before says of its own copy is late, and says nothing of this one.
-    served.step(CoreEvent::Peer {
+    instance.run_for(200);
+    assert_eq!(
+        instance.unanswered_batches.len(),
+        1,
+        "the job is being committed"
+    );
+    // The late refusal concerns only the former leader's copy of the request, not the one served here.
+    instance.step(CoreEvent::Peer {
         from: address(2),
         message: PeerMessage::Reply {
             ticket,
@@ -165,12 +176,12 @@
             }),
         },
     });
-    assert_eq!(served.answer_to(ticket), None);
+    assert_eq!(instance.answer_to(ticket), None);
     let outcome = StoreOutcome::Applied { version: 8 };
-    let write = served.held[0];
-    served.step(CoreEvent::Store {
+    let write = instance.unanswered_batches[0];
+    instance.step(CoreEvent::Store {
         ticket: write,
         outcome,
     });
-    assert_eq!(served.answer_to(ticket), Some(&CallerAnswer::Accepted));
+    assert_eq!(instance.answer_to(ticket), Some(&CallerAnswer::Accepted));
 }
