--- a/crates/bankvalve_queue/src/peer.rs
+++ b/crates/bankvalve_queue/src/peer.rs
@@ -1,4 +1,4 @@
-//! What entry instances say to each other.
+//! Messages between entry instances.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -10,21 +10,22 @@
 use crate::ids::{ConnectionId, FenceToken, RunId, TaskKey, Ticket, WorkerId};
 use crate::worker::{AdviceAnswer, AdviceRequest, WorkerAnswer, WorkerCall};
 
-/// Address at which a peer listens for peers.
+/// Address at which an instance accepts messages from its peers.
 pub type PeerAddress = SocketAddr;
 
-/// Connections that an instance keeps open to each peer, worker and service.
+/// Maximum number of idle connections that an instance keeps open to each peer, worker and service.
 pub const POOLED_CONNECTIONS: usize = 6;
-/// Batches on their way to one peer at most; more messages wait and travel together.
+/// Maximum number of batches in flight to one peer. Further messages wait and are sent together in the
+/// next batch.
 pub const PEER_BATCHES_IN_FLIGHT: usize = 3;
-/// Longest wait for a peer to take a small batch: usual are 2 to 5 ms, and an instance that has
-/// spent its share of a core stands still for up to 100.
-const PEER_TIME: Duration = Duration::from_millis(400);
-/// Bytes of a batch that a link is reckoned to carry in a millisecond: two fifths of the thinnest
-/// one of the users' sites, 10 Mbit/s.
+/// Timeout for a small batch. A peer usually accepts one within 2 to 5 ms, but an instance that has used
+/// up its CPU quota is suspended for up to 100 ms.
+const BATCH_BASE_TIMEOUT: Duration = Duration::from_millis(400);
+/// Bytes of a batch that a link is assumed to transfer in a millisecond: two fifths of the capacity of the
+/// slowest link at the users' sites, 10 Mbit/s.
 const LINK_BYTES_PER_MS: usize = 500;
 
-/// Longest wait for a peer to take a batch of so many bytes.
+/// Returns the timeout for a batch of `bytes` bytes on a link that is not congested.
 ///
 /// # Examples
 ///
@@ -32,130 +33,134 @@
 /// assert!(bankvalve_queue::peer_batch_timeout(1_000_000) >= bankvalve_queue::peer_batch_timeout(100));
 /// ```
 pub fn peer_batch_timeout(bytes: usize) -> Duration {
-    PEER_TIME + Duration::from_millis((bytes / LINK_BYTES_PER_MS) as u64)
+    BATCH_BASE_TIMEOUT + Duration::from_millis((bytes / LINK_BYTES_PER_MS) as u64)
 }
 
-/// Longest time that batches may take beyond [`peer_batch_timeout`] where the own link is behind: with it a
-/// batch has 1.2 s, and one that is truly lost is noticed within that.
-const PATIENCE_MOST: Duration = Duration::from_millis(800);
-/// Times that a batch takes lately for which it is waited for beyond [`peer_batch_timeout`].
-const PATIENCE_FACTOR: u32 = 3;
-/// Least time that is reckoned for a batch once the own link is seen to be behind.
-const PATIENCE_STEP: Duration = Duration::from_millis(100);
+/// Maximum addition to [`peer_batch_timeout`] on a congested link. A small batch then times out after 1.2 s,
+/// which limits the delay until the loss of a batch is noticed.
+const MAX_EXTRA_TIMEOUT: Duration = Duration::from_millis(800);
+/// Factor by which the average latency of batches is multiplied for the addition to
+/// [`peer_batch_timeout`].
+const EXTRA_TIMEOUT_FACTOR: u32 = 3;
+/// Minimum latency that is assumed for a batch once this instance's link is known to be congested.
+const MIN_SLOW_LATENCY: Duration = Duration::from_millis(100);
 
-/// How long batches to peers may take, by how long they have taken lately.
+/// Timeout for batches to peers, adapted to their recent latency.
 ///
-/// A link that is behind brings each batch late. One that is given up was sent for nothing, and what
-/// it told is lost: its receiver reads the ledger's batches from the table, over the same links.
+/// On a congested link each batch arrives late. If the sender abandons such a batch, its messages are lost:
+/// the receiver then reads the ledger's batches from the table, over the same links.
 ///
 /// # Examples
 ///
 /// ```
 /// use std::time::Duration;
 ///
-/// let mut patience = bankvalve_queue::BatchTimeout::default();
-/// let usual = patience.time(100);
-/// patience.note_taken(Duration::from_millis(300));
-/// assert!(patience.time(100) > usual);
+/// let mut timeout = bankvalve_queue::BatchTimeout::default();
+/// let initial = timeout.time(100);
+/// timeout.note_taken(Duration::from_millis(300));
+/// assert!(timeout.time(100) > initial);
 /// ```
 #[derive(Clone, Copy, Debug, Default)]
 pub struct BatchTimeout {
-    usual: Duration,
-    /// A peer that missed a batch since one was taken.
-    missed: Option<PeerAddress>,
+    /// Moving average of the time until a peer accepts a batch.
+    latency: Duration,
+    /// Peer that last failed to accept a batch in time, if no batch has been accepted since.
+    last_missed: Option<PeerAddress>,
 }
 
 impl BatchTimeout {
-    /// Longest wait for a peer to take a batch of so many bytes now.
+    /// Returns the present timeout for a batch of `bytes` bytes.
     pub fn time(&self, bytes: usize) -> Duration {
-        peer_batch_timeout(bytes) + (self.usual * PATIENCE_FACTOR).min(PATIENCE_MOST)
+        peer_batch_timeout(bytes) + (self.latency * EXTRA_TIMEOUT_FACTOR).min(MAX_EXTRA_TIMEOUT)
     }
 
-    /// A batch was taken after a time.
+    /// Records that a peer has accepted a batch, and the time from sending it until then.
     pub fn note_taken(&mut self, took: Duration) {
-        self.usual = (self.usual * 3 + took) / 4;
-        self.missed = None;
+        self.latency = (self.latency * 3 + took) / 4;
+        self.last_missed = None;
     }
 
-    /// A batch was not taken in time. If two peers miss theirs and none takes one meanwhile, it is
-    /// the own link that is behind.
+    /// Records that a peer has not accepted a batch in time. If two different peers miss a batch and none is
+    /// accepted in between, this instance's link is assumed to be congested, and the timeout rises.
     pub fn note_missed(&mut self, peer: PeerAddress) {
-        if self.missed.is_some_and(|other| other != peer) {
-            let more = (self.usual * 2).max(PATIENCE_STEP);
-            self.usual = more.min(PATIENCE_MOST / PATIENCE_FACTOR);
+        if self.last_missed.is_some_and(|other| other != peer) {
+            let more = (self.latency * 2).max(MIN_SLOW_LATENCY);
+            self.latency = more.min(MAX_EXTRA_TIMEOUT / EXTRA_TIMEOUT_FACTOR);
         }
-        self.missed = Some(peer);
+        self.last_missed = Some(peer);
     }
 }
 
-/// The receiver's last heartbeat, told back to it.
+/// Timing of the receiver's last heartbeat, which the sender returns to it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HeartbeatEcho {
-    /// When it was sent, by the receiver's own clock, in milliseconds.
+    /// When it was sent, in milliseconds on the clock of the instance that sent it.
     pub sent_ms: u64,
-    /// For how long the sender has had it, in milliseconds.
+    /// Time between its arrival and this echo, in milliseconds.
     pub held_ms: u64,
 }
 
-/// What a heartbeat tells.
+/// Contents of a heartbeat.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HeartbeatBody {
-    /// Start of the sender's life, milliseconds since 1970.
+    /// Start of the sender's process, in milliseconds since 1970.
     pub life: u64,
-    /// Processor that the sender has, in thousandths of a core.
+    /// CPU capacity of the sender, in millicores.
     pub strength: u64,
-    /// Highest epoch that it knows to lead.
+    /// Highest epoch that the sender knows.
     pub epoch: u64,
-    /// Who leads in that epoch.
+    /// Leader that the sender knows; `None` if it knows none.
     pub leader: Option<PeerAddress>,
     /// Whether the sender itself leads.
     pub leading: bool,
-    /// Whether it leads and still reads the ledger, so that it takes no requests up.
+    /// Whether the sender leads but is still reading the ledger. Until it has read it, it accepts no
+    /// requests.
     pub loading: bool,
-    /// Milliseconds since it last heard from that leader.
+    /// Milliseconds since the sender's last contact with the leader: 0 if it leads itself, `u64::MAX` if it
+    /// knows no leader.
     pub leader_age_ms: u64,
-    /// Whether it leads and the table leaves its requests unanswered.
+    /// Whether the sender leads and the table does not answer its requests.
     pub store_trouble: bool,
-    /// Milliseconds since the table answered a question that it was asked because of such
-    /// trouble; none if it did not.
+    /// Milliseconds since the table last answered a probe, which the sender makes while a leader reports
+    /// such trouble; `None` if it has answered none.
     pub probe_age_ms: Option<u64>,
-    /// Milliseconds since the table last answered it anything; none if it never did.
+    /// Milliseconds since the table last answered any request of the sender; `None` if it never has.
     pub store_age_ms: Option<u64>,
-    /// Number of the last batch of the ledger in its book.
+    /// Number of the last ledger batch in the sender's book.
     pub applied: u64,
-    /// Version of its configuration.
+    /// Version of the sender's configuration.
     pub table_version: u64,
-    /// Milliseconds since it was last known that no newer configuration is there; none if it never
+    /// Milliseconds since the sender's configuration was last known to be the newest; `None` if it never
     /// was.
     pub table_age_ms: Option<u64>,
-    /// Share of new jobs that the leader does not take on, in percent, as far as the sender knows.
+    /// Share of new jobs that the leader does not accept, in percent, as last known to the sender.
     pub refuse_percent: u32,
-    /// When it is sent, by the sender's own clock, in milliseconds.
+    /// When the heartbeat is sent, in milliseconds on the sender's clock.
     pub sent_ms: u64,
-    /// What the receiver said last; none if nothing came from it.
+    /// Timing of the receiver's last heartbeat; `None` if the sender has received none.
     pub echo: Option<HeartbeatEcho>,
-    /// Whether it stops.
+    /// Whether a planned stop of the sender has begun.
     pub stopping: bool,
-    /// Longest hold that it asks workers for when it leads, in milliseconds.
+    /// Longest lease that the sender requests from workers when it leads, in milliseconds.
     pub hold_ms: u64,
 }
 
-/// A call to a worker that a peer carries for the leader.
+/// A call to a worker that a proxy sends for the leader.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ProxiedCall {
-    /// Life of the worker that is meant.
+    /// Id of the worker process that the call is for.
     pub worker: WorkerId,
-    /// Where it listens.
+    /// Address at which the worker listens.
     pub address: String,
-    /// Token of the leader.
+    /// Fencing token of the leader.
     pub token: FenceToken,
-    /// What is told to the worker.
+    /// The call, without the job.
     pub order: ProxiedOrder,
-    /// Longest time to wait for the worker's answer, in milliseconds.
+    /// Timeout for the worker's answer, in milliseconds.
     pub time_ms: u64,
 }
 
-/// What a carried call tells a worker; the job that a start is for is in the carrier's book.
+/// The part of a worker call that is sent to a proxy. The proxy adds the job of a start from its own book.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum ProxiedOrder {
     /// Starts a run.
@@ -164,11 +169,11 @@
         task: TaskKey,
         /// The run.
         run: RunId,
-        /// Progress to go on from; empty for none.
+        /// Saved progress from which the run continues; empty if there is none.
         saved: String,
-        /// Permit of the policy service.
+        /// Permit of the policy service, if the step needs one.
         permit: Option<String>,
-        /// Reading of the worker's clock after which the order is void.
+        /// Deadline on the worker's clock, in milliseconds, from which the worker refuses the start.
         until_ms: u64,
     },
     /// Stops a run.
@@ -178,21 +183,21 @@
         /// The run.
         run: RunId,
     },
-    /// Prolongs the hold and asks for the lists.
+    /// Renews the lease and requests the run lists.
     Hold {
-        /// Reading of the worker's clock until which all is held.
+        /// End of the lease on the worker's clock, in milliseconds; `None` leaves the lease as it is.
         until_ms: Option<u64>,
-        /// Number of the last end that is kept and may be forgotten.
+        /// Number of the last ended run that is committed to the ledger; the worker may forget ends up to it.
         kept: u64,
-        /// The only connection of the carrier that it may go on.
+        /// The only connection of the proxy on which the call may be sent; `None` for any connection.
         connection: Option<ConnectionId>,
-        /// Time to wait for an end, in milliseconds.
+        /// Time for which the worker may delay its answer until a run ends, in milliseconds.
         wait_ms: u64,
     },
 }
 
 impl ProxiedOrder {
-    /// What is carried of a call; none for one that is not carried.
+    /// Returns the part of a call that is sent to a proxy, or `None` if the call is never proxied.
     pub fn of(call: &WorkerCall) -> Option<Self> {
         match call {
             WorkerCall::Start(order) => Some(ProxiedOrder::Start {
@@ -225,129 +230,132 @@
 /// A message to a peer.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum PeerMessage {
-    /// The sender is alive.
+    /// A heartbeat.
     Heartbeat(HeartbeatBody),
-    /// A caller's request, to the leader.
+    /// A caller's request, forwarded to the leader.
     Ask {
-        /// Number of the question.
+        /// Ticket of the request.
         ticket: Ticket,
-        /// Version of the configuration under which it was read.
+        /// Version of the configuration under which the sender interpreted the request.
         table_version: u64,
-        /// Who asks.
+        /// Identity of the caller.
         caller: CallerIdentity,
         /// The request.
         request: CallerRequest,
     },
-    /// Its answer.
+    /// The answer to [`PeerMessage::Ask`].
     Reply {
-        /// Number of the question.
+        /// Ticket of the request.
         ticket: Ticket,
-        /// The answer; none if the receiver does not lead.
+        /// The answer; `None` if the sender of this reply does not lead or is still reading the ledger.
         answer: Option<CallerAnswer>,
     },
-    /// The sender answers callers from its book, and wants to know up to where the ledger is kept.
+    /// Requests the read index from the leader, for status reads that the sender answers from its own book.
     MarkWanted {
-        /// Number of the question.
+        /// Number of the read round.
         round: u64,
     },
-    /// Up to where the ledger is kept, from the leader.
+    /// The read index, from the leader.
     Mark {
-        /// Number of the question.
+        /// Number of the read round.
         round: u64,
-        /// Number of the last batch that is kept.
+        /// Number of the last committed batch.
         sequence: u64,
     },
-    /// A question to the policy service, carried for the leader.
+    /// A request to the policy service that the receiver is to send for the leader.
     Advise {
-        /// Number of the question.
+        /// Ticket of the request.
         ticket: Ticket,
-        /// The question.
+        /// The request.
         ask: AdviceRequest,
     },
-    /// Its answer.
+    /// The answer to [`PeerMessage::Advise`].
     Advised {
-        /// Number of the question.
+        /// Ticket of the request.
         ticket: Ticket,
         /// The answer.
         answer: AdviceAnswer,
     },
-    /// A message that a hub passes on.
+    /// A message that is sent through a hub.
     Relay {
-        /// Who says it.
+        /// Sender of the message.
         from: PeerAddress,
-        /// To whom.
+        /// Receiver of the message.
         to: PeerAddress,
-        /// What.
+        /// The message.
         message: Box<PeerMessage>,
     },
-    /// A call to a worker, carried for the leader.
+    /// A call to a worker that the receiver is to send for the leader.
     Carry {
-        /// Number of the call.
+        /// Ticket of the call.
         ticket: Ticket,
         /// The call.
         call: ProxiedCall,
     },
-    /// Its answer.
+    /// The answer to [`PeerMessage::Carry`].
     Carried {
-        /// Number of the call.
+        /// Ticket of the call.
         ticket: Ticket,
         /// The answer.
         answer: WorkerAnswer,
     },
-    /// A batch of the ledger that is kept.
+    /// A committed batch of the ledger.
     Committed {
         /// Epoch of the leader.
         epoch: u64,
         /// Number of the batch.
         sequence: u64,
-        /// The batch, encoded.
+        /// The encoded batch.
         #[serde(with = "serde_bytes")]
         batch: Vec<u8>,
-        /// Standbys that the receiver passes it on to, one after the other.
+        /// Standbys that get the batch next: the receiver forwards it to the first, with the others as the
+        /// remaining list.
         onward: Vec<PeerAddress>,
     },
-    /// What the leader has measured, so that a successor need not begin anew.
+    /// The leader's measurements, so that a successor can continue with them.
     Measured {
-        /// Workers, each with the logarithm of how much longer than elsewhere tasks take there.
+        /// Workers, each with the logarithm of how much longer tasks take there than on other workers.
         workers: Vec<(WorkerId, f64)>,
-        /// Queues, each with the logarithm of measured to guessed run times.
+        /// Queues, each with the logarithm of the ratio of measured to estimated run times.
         queues: Vec<(String, f64)>,
     },
-    /// The sender has stopped leading; the receiver is to lead.
+    /// The receiver is to take over leadership from the sender.
     TakeOver {
-        /// Epoch that has ended.
+        /// Epoch in which the sender leads, or led until now.
         epoch: u64,
-        /// Whether the sender has stopped commanding; if not, it does until the claim stands.
+        /// Whether the sender has stepped down; otherwise it leads until the receiver's claim is applied.
         over: bool,
     },
-    /// The sender has an older configuration than a peer, and the table does not answer it.
+    /// Requests a newer configuration: the table does not answer the sender, and the receiver may have a
+    /// newer one.
     TableWanted {
-        /// Version that it has.
+        /// Version of the sender's configuration.
         version: u64,
     },
-    /// The sender has a newer one to give.
+    /// Offers the sender's newer configuration, in answer to [`PeerMessage::TableWanted`].
     TableOffer {
-        /// Its version.
+        /// Version of the offered configuration.
         version: u64,
-        /// Its size.
+        /// Size of the offered configuration, in bytes.
         bytes: u64,
     },
-    /// The sender takes what it was offered.
+    /// Accepts an offered configuration.
     TableTaken,
-    /// The sender cannot give it just now after all.
+    /// Withdraws an offer after the peer has accepted it, because the sender is sending a copy to another
+    /// peer.
     TableRefused,
-    /// A configuration, to a peer that took the offer.
+    /// The configuration, sent to a peer that accepted the offer.
     Table {
-        /// The configuration as the operator wrote it.
+        /// The configuration in the operator's format, with digests in place of keys.
         #[serde(with = "serde_bytes")]
         raw: Vec<u8>,
     },
 }
 
-/// Messages that travel together.
+/// Messages that are sent together.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct PeerBatch {
-    /// Who sends.
+    /// Address of the sender.
     pub from: PeerAddress,
     /// The messages.
     pub messages: Vec<PeerMessage>,
--- a/crates/bankvalve_queue/src/port.rs
+++ b/crates/bankvalve_queue/src/port.rs
@@ -1,4 +1,4 @@
-//! The product's side of the platform: closures that turn requests into calls and answers back.
+//! Interface to the platform's protocol: functions that encode requests as HTTP calls and decode replies.
 
 use crate::caller::{CallerAnswer, DenialReason, ResolvedRequest};
 use crate::ids::{FenceToken, WorkerId};
@@ -6,7 +6,7 @@
 use crate::store::{StoreOutcome, StoreRequest};
 use crate::worker::{AdviceAnswer, AdviceRequest, WorkerAnswer, WorkerCall};
 
-/// An HTTP call as it goes out.
+/// An outgoing HTTP call.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct WireCall {
     /// Method.
@@ -21,30 +21,30 @@
     pub body: Vec<u8>,
 }
 
-/// An HTTP request as it came in.
+/// An incoming HTTP request.
 #[derive(Clone, Copy, Debug)]
 pub struct WireRequest<'a> {
     /// Method.
     pub method: &'a str,
     /// Path without the query.
     pub path: &'a str,
-    /// Host that it names.
+    /// Host that the request names.
     pub host: &'a str,
-    /// Headers, with their names in lower case.
+    /// Headers, with names in lower case.
     pub headers: &'a [(&'a str, &'a str)],
     /// Body.
     pub body: &'a [u8],
 }
 
 impl WireRequest<'_> {
-    /// A header by its name in lower case.
+    /// Returns the value of a header, or `None` if the request does not have it. `name` is in lower case.
     pub fn header(&self, name: &str) -> Option<&str> {
         let found = self.headers.iter().find(|(known, _)| *known == name);
         found.map(|(_, value)| *value)
     }
 }
 
-/// An HTTP answer as it goes out.
+/// An outgoing HTTP response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WireAnswer {
     /// Status code.
@@ -53,28 +53,29 @@
     pub content_type: &'static str,
     /// Body.
     pub body: Vec<u8>,
-    /// When to come back, in milliseconds.
+    /// Time after which the caller may retry, in milliseconds.
     pub retry_ms: Option<u64>,
 }
 
-/// What is wrong with a caller's request.
+/// Why a caller's request is not accepted.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RequestFault {
-    /// The configuration denies it; a newer one may not.
+    /// The configuration denies the request, but a newer one may accept it.
     Denied {
-        /// Why.
+        /// Why it is denied.
         reason: DenialReason,
-        /// What to say once it is known that this one is the newest.
+        /// Response to the caller once the configuration is known to be the newest.
         answer: WireAnswer,
-        /// Time that the caller waits, in milliseconds.
+        /// How long the caller waits, in milliseconds.
         patience_ms: u64,
     },
-    /// It is refused as it is.
+    /// The request is refused with this response, without a check for a newer configuration.
     Refused(WireAnswer),
 }
 
 impl RequestFault {
-    /// What to say to the caller; of a denial, once it is known that the configuration is the newest.
+    /// Returns the response to the caller. The response to a denied request may be sent only once the
+    /// configuration is known to be the newest.
     pub fn into_answer(self) -> WireAnswer {
         match self {
             RequestFault::Denied { answer, .. } | RequestFault::Refused(answer) => answer,
@@ -82,46 +83,46 @@
     }
 }
 
-/// What became of an HTTP call.
+/// Outcome of an HTTP call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum WireReply {
-    /// A whole answer.
+    /// A complete response arrived.
     Answer {
         /// Status code.
         status: u16,
         /// Body.
         body: Vec<u8>,
     },
-    /// The port refused the connection: nothing listens there, and it was not sent.
+    /// The call was not sent: the port refused the connection, so no process listens there.
     PortRefused,
-    /// No connection could be made, in time or at all, so it was not sent.
+    /// The call was not sent: no connection could be opened, in time or at all.
     NotSent,
-    /// It may have been received.
+    /// No complete response arrived. The call may have been received.
     NoReply,
 }
 
-/// The platform's manner of speaking, as closures; tests put fakes in their place.
+/// The platform's protocol, as function pointers that tests replace with fakes.
 #[derive(Clone, Copy)]
 pub struct PlatformPort {
-    /// Turns a request to the table into a call.
+    /// Encodes a request to the table as an HTTP call.
     pub store_call: fn(&StoreRequest) -> WireCall,
-    /// Turns its reply into an outcome.
+    /// Decodes the reply to a request to the table.
     pub store_outcome: fn(&StoreRequest, &WireReply) -> StoreOutcome,
-    /// Turns a call to a worker into an HTTP call.
+    /// Encodes a call to a worker as an HTTP call.
     pub worker_call: fn(&WorkerId, FenceToken, &WorkerCall) -> WireCall,
-    /// Turns its reply into an answer.
+    /// Decodes the reply to a call to a worker.
     pub worker_answer: fn(&WorkerCall, &WireReply) -> WorkerAnswer,
-    /// Turns a question to the policy service into a call.
+    /// Encodes a request to the policy service as an HTTP call.
     pub advice_call: fn(&AdviceRequest) -> WireCall,
-    /// Turns its reply into an answer.
+    /// Decodes the reply to a request to the policy service.
     pub advice_answer: fn(&WireReply) -> AdviceAnswer,
-    /// Reads a caller's request, or says what is wrong with it.
+    /// Decodes a caller's request, or returns why it is not accepted.
     pub read_request: fn(&WireRequest<'_>, &QueueTable) -> Result<ResolvedRequest, RequestFault>,
-    /// Writes the answer to a caller.
+    /// Encodes the answer to a caller.
     pub write_answer: fn(&CallerAnswer) -> WireAnswer,
-    /// Reads a configuration as the operator wrote it.
+    /// Decodes a configuration in the operator's format; `None` if it cannot be decoded.
     pub read_table: fn(&[u8]) -> Option<QueueTable>,
-    /// Path at which the platform asks whether the instance is ready.
+    /// Path of the platform's readiness check.
     pub ready_path: &'static str,
 }
 
--- a/crates/bankvalve_queue/src/worker.rs
+++ b/crates/bankvalve_queue/src/worker.rs
@@ -1,14 +1,14 @@
-//! What is said to workers and to the policy service, and their answers.
+//! Calls to workers, requests to the policy service, and the answers to both.
 
 use serde::{Deserialize, Serialize};
 
 use crate::ids::{ConnectionId, CoreTime, RunId, StepKey, TaskKey, WallMillis, WorkerId};
 use crate::job::TaskSize;
 
-/// When a worker's process started, in Unix milliseconds by its own time of day.
+/// Start time of a worker's process, in Unix milliseconds on the worker's wall clock.
 ///
-/// It tells the incarnations of a worker apart, which may bear one id. Time of day may step back, so that
-/// a later incarnation may have a smaller one: which of two is newer does not follow from it.
+/// Distinguishes incarnations of a worker that have the same id. It does not show which of two incarnations
+/// is newer: wall clocks can be set back, so a later incarnation may have an earlier start time.
 ///
 /// # Examples
 ///
@@ -20,24 +20,24 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ProcessStart(pub WallMillis);
 
-/// A worker's own account of itself.
+/// Entry that a worker writes about itself in the platform's table.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct WorkerEntry {
     /// Service whose tasks it runs.
     pub service: String,
-    /// Where it listens, as IP and port.
+    /// Address at which it listens, as IP and port.
     pub address: String,
     /// Failure domain.
     pub domain: String,
-    /// Labels: its kind, its rack.
+    /// Labels, such as its kind and its rack.
     pub labels: Vec<String>,
-    /// Room in all.
+    /// Total capacity.
     pub room: TaskSize,
-    /// It leaves and is to get nothing new.
+    /// Whether the worker is leaving and must get no new runs.
     pub leaving: bool,
-    /// Least time left before it leaves, in milliseconds.
+    /// Minimum time left until it leaves, in milliseconds; `None` if it reports none.
     pub remaining_ms: Option<u64>,
-    /// Start of the process that wrote it, if it says so.
+    /// Start of the process that wrote the entry, if the entry contains it.
     pub started: Option<ProcessStart>,
 }
 
@@ -48,13 +48,14 @@
     pub task: TaskKey,
     /// The run.
     pub run: RunId,
-    /// Job that the task belongs to; its payload goes with the order.
+    /// Job that the task belongs to; its payload is sent with the order.
     pub job: std::sync::Arc<crate::job::JobSpec>,
-    /// Progress to go on from; empty for none.
+    /// Saved progress from which the run continues; empty if there is none.
     pub saved: String,
-    /// Permit of the policy service.
+    /// Permit of the policy service, if the step needs one.
     pub permit: Option<String>,
-    /// Reading of the worker's clock after which the order is void and until which all is held.
+    /// Deadline on the worker's clock, in milliseconds. The worker refuses the start from then on, and the
+    /// order renews the worker's lease until then.
     pub until_ms: u64,
 }
 
@@ -70,47 +71,49 @@
         /// The run.
         run: RunId,
     },
-    /// Prolongs the hold and asks for the lists.
+    /// Renews the lease and requests the run lists.
     Hold {
-        /// Reading of the worker's clock until which all is held.
+        /// End of the lease on the worker's clock, in milliseconds; `None` leaves the lease as it is.
         until_ms: Option<u64>,
-        /// Number of the last end that is kept and may be forgotten.
+        /// Number of the last ended run that is committed to the ledger; the worker may forget ends up to it.
         kept: u64,
-        /// The only connection that it may go on; it is not sent if that has ended. Whichever if none.
+        /// The only connection on which the call may be sent; if it has closed, the call is not sent. `None`
+        /// allows any connection.
         connection: Option<ConnectionId>,
-        /// Time to wait for an end, in milliseconds.
+        /// Time for which the worker may delay its answer until a run ends, in milliseconds.
         wait_ms: u64,
     },
-    /// Lets a run work at a share.
+    /// Limits a run to a share of its full pace.
     Pace {
         /// The task.
         task: TaskKey,
         /// The run.
         run: RunId,
-        /// Share in percent.
+        /// Share, in percent.
         percent: u8,
     },
 }
 
-/// Why a worker started nothing.
+/// Why a worker refused a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum StartRefusal {
-    /// It has seen a higher fencing token.
+    /// The worker has received a higher fencing token.
     Fenced,
-    /// The run is not above one that was stopped or ended there.
+    /// The number of the run is not higher than that of a run of the task that the worker has, or that was
+    /// stopped or has ended there.
     Old,
-    /// The order is void by the worker's clock.
+    /// The order's deadline has passed on the worker's clock.
     Late,
-    /// It has no room.
+    /// The worker's free capacity is too small.
     Room,
-    /// The permit does not hold.
+    /// The permit is not valid.
     Permit,
-    /// It took the order for malformed.
+    /// The worker considers the order malformed.
     Malformed,
 }
 
 impl StartRefusal {
-    /// Word for logs and counters.
+    /// Returns the name in logs and counters.
     pub fn as_str(self) -> &'static str {
         match self {
             StartRefusal::Fenced => "fenced",
@@ -123,25 +126,25 @@
     }
 }
 
-/// A run that a worker has.
+/// A running run in a worker's run lists.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RunReport {
     /// The task.
     pub task: TaskKey,
     /// The run.
     pub run: RunId,
-    /// Progress saved last; empty for none.
+    /// Progress that was saved last; empty if there is none.
     pub saved: String,
-    /// How much of its work is done, in percent.
+    /// Share of its work that is done, in percent.
     pub percent: u32,
-    /// Tail of its answers' times in milliseconds, or millicores in use.
+    /// Tail latency of its answers in milliseconds, or its CPU use in millicores.
     pub figure: Option<u64>,
 }
 
-/// A run that ended on a worker.
+/// An ended run in a worker's run lists.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EndReport {
-    /// Number of the end in this life of the worker.
+    /// Number of the end, as counted by the worker's process.
     pub number: u64,
     /// The task.
     pub task: TaskKey,
@@ -149,76 +152,76 @@
     pub run: RunId,
     /// How it ended.
     pub how: crate::ledger::EndKind,
-    /// Progress saved; empty for none.
+    /// Saved progress; empty if there is none.
     pub saved: String,
 }
 
-/// What a worker holds.
+/// A worker's run lists.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HoldReport {
-    /// Runs that it has.
+    /// Runs that are running.
     pub running: Vec<RunReport>,
-    /// Ends that it has not been told to forget.
+    /// Ended runs whose ends the leader has not acknowledged as committed.
     pub ended: Vec<EndReport>,
-    /// Start of the process whose lists these are, if it says so.
+    /// Start of the process that sent the lists, if the worker reports it.
     pub started: Option<ProcessStart>,
-    /// Connection on which they came. It ends with that process.
+    /// Connection on which the lists arrived. It closes when that process ends.
     pub connection: Option<ConnectionId>,
 }
 
-/// What became of a call to a worker.
+/// Outcome of a call to a worker.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum WorkerAnswer {
-    /// Done; the worker's clock and, for a hold, its lists.
+    /// The worker carried out the call.
     Done {
-        /// Reading of the worker's clock in milliseconds.
+        /// Reading of the worker's clock, in milliseconds.
         clock_ms: Option<u64>,
-        /// The lists.
+        /// The run lists, in the answer to [`WorkerCall::Hold`].
         report: Option<HoldReport>,
     },
-    /// Not done, and why.
+    /// The worker refused the call, which had no effect on runs.
     Refused {
-        /// Reading of the worker's clock in milliseconds.
+        /// Reading of the worker's clock, in milliseconds.
         clock_ms: Option<u64>,
-        /// Why.
+        /// Why it refused.
         reason: StartRefusal,
     },
-    /// Another life of the worker answered: the one that was meant is over.
+    /// Another process of the worker answered: the one that the call was for has ended.
     OtherLife,
-    /// Not done: the worker is unwell or too busy.
+    /// The worker did not carry out the call, because it is unhealthy or too busy.
     Unwell,
-    /// Not sent: its port refused the connection, so nothing listens there.
+    /// The call was not sent: the worker's port refused the connection, so no process listens there.
     PortRefused,
-    /// Not sent: no connection could be made, in time or at all, or the only one that the call may go on
-    /// has ended. A worker that is silent shows so.
+    /// The call was not sent: no connection could be opened, in time or at all, or the only connection on
+    /// which it may be sent has closed. Calls to a worker that does not respond end like this, too.
     NotSent,
-    /// No answer: done, not done, or done later.
+    /// No answer arrived. The worker may have carried out the call, or may still do so.
     NoReply,
 }
 
-/// A question to the policy service.
+/// A request to the policy service: which workers may run a step.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AdviceRequest {
     /// The step.
     pub step: StepKey,
-    /// Workers asked about.
+    /// Workers that the service is to check.
     pub workers: Vec<WorkerId>,
-    /// Longest time to wait for the answer.
+    /// Timeout for the answer.
     pub time: CoreTime,
 }
 
-/// Its answer.
+/// Outcome of an [`AdviceRequest`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum AdviceAnswer {
-    /// Workers that may run the step, each with its permit.
+    /// The workers that may run the step.
     Good {
-        /// Worker and permit.
+        /// Workers, each with its permit.
         permits: Vec<(WorkerId, String)>,
-        /// Time for which the permits hold, in milliseconds.
+        /// Time for which the permits are valid, in milliseconds.
         valid_ms: u64,
     },
-    /// Too many questions wait.
+    /// The service has too many open requests.
     Busy,
-    /// No answer.
+    /// No answer arrived.
     NoReply,
 }
