--- a/crates/bankvalve_queue/src/caller.rs
+++ b/crates/bankvalve_queue/src/caller.rs
@@ -1,4 +1,4 @@
-//! What callers ask, once it is known which queue they mean.
+//! Requests of callers, after their queue has been resolved, and the answers.
 
 use std::sync::Arc;
 
@@ -11,14 +11,14 @@
 /// A caller's request.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum CallerRequest {
-    /// Hands a job in.
+    /// Submits a job.
     Submit {
         /// The job.
         spec: Arc<JobSpec>,
-        /// Terms of its queue.
+        /// Terms of the job's queue.
         terms: JobTerms,
     },
-    /// Asks how a job stands.
+    /// Requests the state of a job.
     Status {
         /// The job.
         job: JobId,
@@ -28,85 +28,85 @@
         /// The job.
         job: JobId,
     },
-    /// Asks how many jobs of a queue have not begun.
+    /// Requests the number of a queue's jobs that have not begun.
     Count {
         /// The queue.
         queue: String,
     },
 }
 
-/// A request and how long its caller waits.
+/// A request with its caller, and the time that the caller waits.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ResolvedRequest {
     /// The request.
     pub request: CallerRequest,
-    /// Who asks.
+    /// Identity of the caller.
     pub caller: CallerIdentity,
-    /// Time that the caller waits, in milliseconds.
+    /// How long the caller waits, in milliseconds.
     pub patience_ms: u64,
-    /// Version of the configuration under which it was read.
+    /// Version of the configuration under which the request was interpreted.
     pub table_version: u64,
 }
 
-/// How a job stands.
+/// State of a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum JobState {
     /// No task has begun.
     Pending,
     /// A task has begun.
     Running,
-    /// All tasks have ended well.
+    /// All tasks have succeeded.
     Succeeded,
-    /// A task has failed for good.
+    /// A task has failed and is not retried.
     Failed,
-    /// It was cancelled.
+    /// The job was cancelled.
     Cancelled,
 }
 
 /// The answer to a caller.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum CallerAnswer {
-    /// The job is accepted and kept.
+    /// The job is accepted and committed to the ledger.
     Accepted,
-    /// How the job stands.
+    /// State of the job.
     State(JobState),
     /// The job is cancelled.
     Cancelled,
-    /// There is no such job.
+    /// The job does not exist.
     NoSuchJob,
-    /// The id of the job that is handed in is that of another customer's job.
+    /// The id of the submitted job is already the id of another customer's job.
     IdInUse,
-    /// The job can never run: a gang in it is larger than its customer may run at once.
+    /// The job can never run: it has a gang that exceeds its customer's limit by itself.
     BeyondLimit,
-    /// The configuration in force is as new as the request: a queue or a key that is not in it is
-    /// not there.
+    /// The configuration in force is at least as new as the request, so a queue or a key that is not in it
+    /// does not exist.
     TableIsNewest,
-    /// So many jobs of the queue have not begun.
+    /// Number of the queue's jobs that have not begun.
     Waiting(u64),
-    /// Not done, and surely never; the caller may come back.
+    /// The request has had no effect and never will; the caller may retry.
     Refused {
-        /// Why.
+        /// Why it was refused.
         reason: RefusalReason,
-        /// When to come back, in milliseconds.
+        /// Time after which the caller may retry, in milliseconds.
         retry_ms: u64,
     },
-    /// It is not known whether it was done; asking again is harmless.
+    /// It is not known whether the request took effect. It is safe to repeat it.
     Unknown,
 }
 
-/// Why a request is denied by the configuration in force.
+/// Why the configuration in force denies a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DenialReason {
-    /// It has no queue of this host and path.
+    /// The configuration has no queue with this host and path.
     NoQueue,
-    /// The queue asks for a key, and the request has none that can be read.
+    /// The queue requires a key, and the request has none that can be read.
     NoKey,
-    /// It has no such key.
+    /// The configuration does not have the request's key.
     UnknownKey,
 }
 
 impl DenialReason {
-    /// Word for logs and counters.
+    /// Returns the name in logs and counters.
     pub fn as_str(self) -> &'static str {
         match self {
             DenialReason::NoQueue => "no_queue",
@@ -119,23 +119,23 @@
 /// Why a request was refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum RefusalReason {
-    /// No instance is known to lead.
+    /// No leader is known.
     NoLeader,
-    /// The table does not answer, so nothing can be kept.
+    /// The table is unavailable, so nothing can be committed.
     StoreAway,
-    /// Too many jobs wait to be kept.
+    /// Too many requests are open, or too many jobs wait to be committed.
     Overload,
-    /// The instance stops.
+    /// The instance is stopping.
     Stopping,
-    /// It is not known whether a newer configuration has the queue.
+    /// It is not known whether a newer configuration has the queue or the key.
     TableUnsure,
-    /// A newer configuration than the request was read under does not have the queue.
+    /// The queue is missing in a newer configuration than the one under which the request was interpreted.
     QueueDropped,
-    /// A newer configuration than the request was read under does not have the key.
+    /// The key is missing in a newer configuration than the one under which the request was interpreted.
     KeyDropped,
-    /// It has not been known for too long whether keys still hold.
+    /// The last confirmation that the local configuration, and so its keys, is the newest is too old.
     KeysUnsure,
-    /// The site is full, and the customer has sent more than its share.
+    /// The site is full, and the customer has submitted more than its share.
     ShareSpent,
 }
 
@@ -153,7 +153,7 @@
         RefusalReason::ShareSpent,
     ];
 
-    /// Word for logs and counters.
+    /// Returns the name in logs and counters.
     pub fn as_str(self) -> &'static str {
         match self {
             RefusalReason::NoLeader => "no_leader",
--- a/crates/bankvalve_queue/src/store.rs
+++ b/crates/bankvalve_queue/src/store.rs
@@ -1,4 +1,4 @@
-//! What is asked of the platform's table.
+//! Requests to the platform's table and their outcomes.
 
 use std::fmt;
 
@@ -8,19 +8,19 @@
 use crate::queue_table::QueueTable;
 use crate::worker::WorkerEntry;
 
-/// Where a row stands.
+/// Location of a row.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct RowKey {
-    /// Table.
+    /// Name of the table.
     pub table: String,
-    /// Part; rows of one part can be changed together.
+    /// Part of the table. One transaction can change several rows of the same part.
     pub part: String,
-    /// Key.
+    /// Key of the row within its part.
     pub key: String,
 }
 
 impl RowKey {
-    /// Names a row.
+    /// Creates the key of a row.
     pub fn new(table: &str, part: &str, key: impl Into<String>) -> Self {
         Self {
             table: table.into(),
@@ -30,107 +30,108 @@
     }
 }
 
-/// A row as it stands.
+/// A row that was read from the table.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StoredRow {
-    /// Where.
+    /// Location of the row.
     pub key: RowKey,
-    /// Content.
+    /// Content of the row.
     pub value: Vec<u8>,
-    /// Version at which it was last changed.
+    /// Version of the table at which the row was last changed.
     pub version: u64,
 }
 
-/// Version that a row must have; 0 asks that it is not there.
+/// A condition of a transaction: the version that a row must have.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RowCondition {
-    /// Where.
+    /// Location of the row.
     pub key: RowKey,
-    /// Version.
+    /// Required version; 0 requires that the row does not exist.
     pub version: u64,
 }
 
-/// A row to be written.
+/// A row to write.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RowWrite {
-    /// Where.
+    /// Location of the row.
     pub key: RowKey,
-    /// New content.
+    /// New content of the row.
     pub value: Vec<u8>,
 }
 
-/// A row that changed; without a value it was dropped.
+/// A change of a row.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RowChange {
-    /// Where.
+    /// Location of the row.
     pub key: RowKey,
-    /// New content.
+    /// New content; `None` if the row was removed.
     pub value: Option<Vec<u8>>,
-    /// Version of the change.
+    /// Version of the table at the change.
     pub version: u64,
 }
 
-/// Something asked of the table.
+/// A request to the table.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StoreRequest {
-    /// Changes rows, all or none.
+    /// Changes rows in one transaction: all of them or none.
     Transact {
-        /// What must hold.
+        /// Conditions that must all be met.
         conditions: Vec<RowCondition>,
         /// Rows to write.
         writes: Vec<RowWrite>,
-        /// Rows to drop.
+        /// Rows to remove.
         removals: Vec<RowKey>,
     },
     /// Reads rows of a part in the order of their keys.
     Read {
-        /// Table.
+        /// Name of the table.
         table: String,
-        /// Part.
+        /// Part of the table.
         part: String,
-        /// Least key.
+        /// Smallest key to return.
         from: String,
-        /// Most rows; none for as many as the table gives.
+        /// Maximum number of rows; `None` for as many as the table returns.
         limit: Option<u32>,
     },
-    /// Waits for changes in one of our own tables.
+    /// Waits for changes in one of bankvalve's own tables.
     Watch {
-        /// Table.
+        /// Name of the table.
         table: String,
-        /// Version after which changes count.
+        /// Version after which changes are returned.
         after: u64,
-        /// Longest wait in milliseconds.
+        /// Maximum wait for a change, in milliseconds.
         wait_ms: u64,
     },
-    /// Reads what the operator wrote.
+    /// Reads the operator's rows, which contain the configuration.
     ReadOperator,
-    /// Waits for changes by the operator.
+    /// Waits for changes of the operator's rows.
     WatchOperator {
-        /// Version after which changes count.
+        /// Version after which changes are returned.
         after: u64,
-        /// Longest wait in milliseconds.
+        /// Maximum wait for a change, in milliseconds.
         wait_ms: u64,
     },
     /// Reads the workers' own entries.
     ReadWorkers {
-        /// Least id, where the list goes on.
+        /// Smallest worker id to return; empty for the first page.
         from: String,
     },
-    /// Waits for changes of them.
+    /// Waits for changes of the workers' own entries.
     WatchWorkers {
-        /// Version after which changes count.
+        /// Version after which changes are returned.
         after: u64,
-        /// Longest wait in milliseconds.
+        /// Maximum wait for a change, in milliseconds.
         wait_ms: u64,
     },
 }
 
-/// What the operator wrote.
+/// Configuration in the operator's rows.
 #[derive(Clone, Default, PartialEq)]
 pub struct OperatorNews {
-    /// The newest configuration, if it is among the rows.
+    /// The decoded configuration; `None` if the rows contain none that can be decoded.
     pub table: Option<QueueTable>,
-    /// The configuration as it is passed on to peers, with digests in place of keys.
+    /// The configuration as it is sent to peers, with digests in place of keys; if it cannot be decoded, the
+    /// bytes that were read.
     pub raw: Vec<u8>,
 }
 
@@ -144,66 +145,66 @@
     }
 }
 
-/// What a row among the workers' entries tells.
+/// A row of the table that contains the workers' entries.
 #[derive(Clone, Debug, PartialEq)]
 pub enum WorkerRow {
-    /// The worker's own account of itself.
+    /// The entry that the worker has written.
     Entry(WorkerEntry),
-    /// The entry went.
+    /// The entry was removed.
     Gone,
-    /// No worker can be made of it, and why: another program may write there too.
+    /// The row is not a valid entry, for this reason. Other programs may also write to the table.
     Unusable(&'static str),
 }
 
-/// What became of a request.
+/// Outcome of a request to the table.
 #[derive(Clone, Debug, PartialEq)]
 pub enum StoreOutcome {
-    /// The transaction took effect.
+    /// The transaction was applied.
     Applied {
-        /// Its version.
+        /// Version of the table after the transaction.
         version: u64,
     },
-    /// A condition did not hold; nothing changed.
+    /// A condition was not met, and nothing was changed.
     Conflict {
-        /// The rows of the conditions as they stand.
+        /// Current rows of the conditions, without those that do not exist.
         rows: Vec<StoredRow>,
     },
-    /// Rows of one moment.
+    /// Rows from one consistent read.
     Rows {
         /// The rows.
         rows: Vec<StoredRow>,
-        /// Whether there are more.
+        /// Whether there are more rows after these.
         more: bool,
-        /// Newest version.
+        /// Version of the table at the read.
         version: u64,
     },
     /// Changes, in order.
     Changes {
         /// The changes.
         changes: Vec<RowChange>,
-        /// Version up to which they are whole.
+        /// Version up to which the changes are complete.
         version: u64,
     },
-    /// What the operator wrote.
+    /// Configuration in the operator's rows.
     Operator {
-        /// The news.
+        /// The configuration.
         news: OperatorNews,
-        /// Version up to which they are whole.
+        /// Version up to which changes of the rows are included.
         version: u64,
     },
-    /// Workers' entries.
+    /// Workers' entries, or changes of them.
     Workers {
         /// The entries.
         entries: Vec<(WorkerId, WorkerRow)>,
-        /// Whether there are more, from the last id on.
+        /// Whether there are more entries, from the last id on.
         more: bool,
-        /// Version up to which they are whole.
+        /// Version up to which changes of the entries are included.
         version: u64,
     },
-    /// The changes asked for are forgotten; read anew.
+    /// The table no longer has the requested changes, so all rows must be read again.
     HistoryGone,
-    /// The table did nothing and may be asked again later.
+    /// The request had no effect and may be repeated later.
     Busy,
-    /// No answer: done, not done, or done later.
+    /// No answer arrived. The request may have been applied, or may still be.
     Lost,
 }
