--- a/crates/bankvalve_queue/src/decision.rs
+++ b/crates/bankvalve_queue/src/decision.rs
@@ -1,4 +1,4 @@
-//! What an instance tells about its decisions.
+//! Decision log, counters and status of an instance.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -8,27 +8,27 @@
 use crate::customer::CustomerName;
 use crate::job::TaskSize;
 
-/// One decision, to be logged.
+/// A line of the decision log.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DecisionLine {
-    /// Part that decided.
+    /// Part of the instance that made the decision.
     pub part: &'static str,
     /// What was decided.
     pub event: &'static str,
-    /// Job, task, worker or peer that it is about.
+    /// Job, task, worker or peer that the decision concerns.
     pub id: String,
-    /// What decided it, and its age or version.
+    /// Facts on which the decision is based, with their age or version.
     pub detail: String,
 }
 
-/// Counters of an instance.
+/// Counters of an instance, by family and kind.
 #[derive(Clone, Debug, Default)]
 pub struct EntryCounters {
     counts: BTreeMap<(&'static str, &'static str), u64>,
 }
 
 impl EntryCounters {
-    /// Counts something of a family by its kind.
+    /// Adds one to a counter.
     ///
     /// # Examples
     ///
@@ -41,22 +41,22 @@
         self.count_many(family, kind, 1);
     }
 
-    /// Counts several things of a family by their kind.
+    /// Adds a number to a counter.
     pub fn count_many(&mut self, family: &'static str, kind: &'static str, number: u64) {
         *self.counts.entry((family, kind)).or_default() += number;
     }
 
-    /// Counts a refusal.
+    /// Counts a refused request.
     pub fn refuse(&mut self, reason: RefusalReason) {
         self.count("refusals", reason.as_str());
     }
 
-    /// One counter.
+    /// Returns the value of a counter; 0 if nothing was counted.
     pub fn of(&self, family: &'static str, kind: &'static str) -> u64 {
         self.counts.get(&(family, kind)).copied().unwrap_or(0)
     }
 
-    /// All counters: family, kind, count.
+    /// Returns all counters, each as family, kind and value.
     pub fn all(&self) -> impl Iterator<Item = (&'static str, &'static str, u64)> + '_ {
         self.counts
             .iter()
@@ -64,53 +64,53 @@
     }
 }
 
-/// How a customer stands, as its leader sees it.
+/// Status of a customer, as known to the leader.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct CustomerView {
-    /// The customer.
+    /// Name of the customer.
     pub name: CustomerName,
-    /// What it has running, or may have.
+    /// Resources of its tasks that are running or may be running.
     pub running: TaskSize,
-    /// Its tasks that wait for room.
+    /// Number of its tasks that wait for capacity.
     pub waiting_tasks: u64,
-    /// Its jobs that were accepted by this leader.
+    /// Number of its jobs that this leader has accepted.
     pub accepted: u64,
-    /// Of them those beyond its share.
+    /// Number of the accepted jobs that were beyond its share.
     pub beyond_share: u64,
-    /// Its jobs that were refused since they were beyond its share.
+    /// Number of its jobs that this leader has refused because they were beyond its share.
     pub refused: u64,
 }
 
-/// How an instance stands, for readiness and metrics.
+/// Status of an instance, for readiness and metrics.
 #[derive(Clone, Debug, Default)]
 pub struct EntryView {
-    /// Whether it may be given callers.
+    /// Whether the instance is ready to accept requests of callers.
     pub ready: bool,
     /// Whether it leads.
     pub leading: bool,
-    /// Whether it leads and still reads the ledger.
+    /// Whether it leads but is still reading the ledger.
     pub loading: bool,
-    /// Whether a planned stop is over.
+    /// Whether a planned stop is complete.
     pub stopped: bool,
-    /// Jobs known.
+    /// Number of jobs in its book.
     pub jobs: u64,
-    /// Tasks that wait for room.
+    /// Number of tasks that wait for capacity; 0 unless it leads.
     pub waiting_tasks: u64,
-    /// Runs on workers.
+    /// Number of runs on workers; 0 unless it leads.
     pub live_runs: u64,
-    /// Tasks that do not run though they did, as its leader sees them; none on others.
+    /// Tasks that have run before and do not run now, as known to the leader; empty on other instances.
     pub task_waits: TaskWaits,
-    /// Version of the configuration in force; 0 before the first.
+    /// Version of the configuration in force; 0 if there is none yet.
     pub table_version: u64,
-    /// Time since the table last told whether there is a newer one; none if it never did.
+    /// Time since the table last answered a watch or a query of the configuration; `None` if it never has.
     pub table_age: Option<Duration>,
-    /// Time since the leader was heard; zero on the leader, none if none is known.
+    /// Time since the last contact with the leader: zero on the leader itself, `None` if no leader is known.
     pub leader_age: Option<Duration>,
-    /// Batches of the ledger in its book.
+    /// Number of ledger batches in its book.
     pub ledger_batches: u64,
-    /// Milliseconds for which it has known of no leader that works.
+    /// Time for which it has known no working leader, in milliseconds.
     pub leaderless_ms: u64,
-    /// Customers with the most running, as its leader sees them; none on others.
+    /// Customers with the most CPU in use, as known to the leader; empty on other instances.
     pub customers: Vec<CustomerView>,
     /// Counters.
     pub counters: EntryCounters,
--- a/crates/bankvalve_queue/src/guard.rs
+++ b/crates/bankvalve_queue/src/guard.rs
@@ -1,67 +1,72 @@
-//! The guards on which the platform's rules rest, so that a check can take one away.
+//! Guards that enforce the platform's rules. A check can disable one of them.
 
-/// A guard that can be taken away to show that its absence is noticed.
+/// A guard that a check can disable, to show that the check detects its absence.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SiteGuard {
-    /// A new leader takes no ends before it has read the whole ledger.
+    /// A new leader handles no ended runs before it has read the complete ledger.
     LedgerFirst,
-    /// A write requires the leader's own row, and that its batch is not there.
+    /// A write of ledger batches requires that the leader's row is unchanged and that the first of the
+    /// batches does not exist yet.
     OwnRow,
-    /// An end is acknowledged only once it is kept.
+    /// The end of a run is acknowledged to the worker only once it is committed.
     KeptEnds,
-    /// A silent worker's tasks are given up only when its hold is surely over.
+    /// The runs of an unresponsive worker are declared lost only once its lease is known to have expired.
     HoldOver,
-    /// Room of a run that is being stopped is free only when it has ended.
+    /// The resources of a run that is being stopped become free only when the run has ended.
     StopsCount,
-    /// Of a job whose write may have been done it is not said that it never runs.
+    /// A job is not refused if the write that accepts it may have been applied.
     SureRefusal,
-    /// A claim that spares reading the ledger requires that it has no more than the own book.
+    /// A claim that saves reading the ledger requires that the ledger has no batch beyond those in the local
+    /// book.
     CompleteBook,
-    /// A run that a list lacks is gone only if the list was asked for after the run was confirmed.
+    /// A run that is missing in a worker's run lists counts as ended only if the lists were requested after
+    /// the worker had confirmed the run.
     NewerList,
-    /// A good end that a worker tells of late, of a run that was given up, still counts.
+    /// If a worker reports the success of a run after the run was declared lost, the success still counts.
     LateDone,
     /// An older configuration never replaces a newer one.
     NewerTable,
-    /// That a queue is not there is said only once the configuration is known to be the newest.
+    /// A queue or a key is denied only once the configuration in force is known to be the newest.
     KnownNewest,
-    /// A question that has no answer is sent again.
+    /// A caller's request that the leader has not answered is sent again.
     ResentAsk,
-    /// A follower tells how an open job stands only once its book has all that the leader had kept
-    /// when it was asked.
+    /// A follower returns the state of an open job only once its book has reached the read index: the last
+    /// batch that the leader had committed when it handled the follower's request for the index.
     ReadMark,
-    /// A page of the ledger that did not come is asked for with more time, also for a slow table,
-    /// and smaller.
+    /// A page of the ledger that has timed out is requested again with a longer timeout, and with fewer rows
+    /// unless the table itself is slow. The timeout accounts for the table's latency.
     LedgerProgress,
-    /// Another request to the table that did not come is asked for with more time.
+    /// After any other request to the table has timed out, the next request of its kind has a longer timeout.
     GrowingPatience,
-    /// Ends of workers count against the tasks that they ran.
+    /// The end of a worker is evidence against the tasks that it ran.
     CrashBudget,
-    /// That a worker ended is proof only against a task that it ran alone, and while others did not
-    /// end as well.
+    /// The end of a worker is strong evidence only against a task that was its only one, and only if there
+    /// was no mass loss of workers.
     AloneEvidence,
-    /// A start is weighed against the room that its worker has when it is sent.
+    /// A start is checked against the worker's capacity at the time when it is sent.
     RoomOfNow,
-    /// The clock of decisions goes on while the machine is suspended.
+    /// The clock that decisions are based on continues while the machine is suspended.
     BootTime,
-    /// A new leader reckons with the holds that were asked for and by what is known of the leader
-    /// before, not with the longest ones that could be.
+    /// A new leader calculates when the leases of former leaders expire from the leases that they requested
+    /// and from what is known of those leaders, instead of assuming the longest possible leases.
     KnownHolds,
-    /// A leader that is not sure that it leads prolongs holds only while its peers hear it.
+    /// A leader whose leadership was not confirmed recently renews leases beyond the limit set by the last
+    /// confirmation only while its peers receive its heartbeats.
     LeaderInTouch,
-    /// A hold that the ledger has as stopped is prolonged only once it is kept that it is resumed.
+    /// A lease whose renewal the ledger records as stopped is renewed only once its resumption is committed.
     ResumeKept,
-    /// Permits and room are at hand for a task that lasts when its run is given up.
+    /// Permits and capacity are prepared for a long-running task before its run is declared lost.
     ReadyReturn,
-    /// Ends of a worker that has started again under its id are counted anew.
+    /// The numbers of ended runs start again when a worker restarts under the same id.
     OwnNumbers,
-    /// Holds of a worker that has started again under its id are reckoned by its new clock.
+    /// When a worker restarts under the same id, its lease is calculated on the new process's clock.
     OwnClock,
-    /// A leader with a newer configuration than a request was read under has the last word on its key.
+    /// A leader that has a newer configuration than the one under which a request was interpreted decides
+    /// whether the request's key is valid.
     LeaderKeys,
-    /// What a customer has running stays within its limit.
+    /// The resources of a customer's running tasks stay within its limit.
     CustomerLimit,
-    /// A start that waited while its customer's limit was lowered is weighed against the lower one.
+    /// A start that was pending while its customer's limit was lowered is checked against the lower limit.
     LimitOfNow,
 }
 
@@ -98,7 +103,7 @@
         SiteGuard::LimitOfNow,
     ];
 
-    /// Name used on the command line.
+    /// Returns the name on the command line.
     ///
     /// # Examples
     ///
@@ -141,7 +146,7 @@
         }
     }
 
-    /// The guard of a name.
+    /// Returns the guard with the given name, or `None` if there is none.
     pub fn named(name: &str) -> Option<Self> {
         Self::ALL.into_iter().find(|guard| guard.as_str() == name)
     }
--- a/crates/bankvalve_queue/src/lib.rs
+++ b/crates/bankvalve_queue/src/lib.rs
@@ -1,9 +1,9 @@
-//! Decisions for queues of jobs of steps, as state machines without I/O.
+//! Scheduling of queues of jobs, whose steps consist of tasks, as state machines without I/O.
 //!
-//! [`EntryCore`] is one entry instance: it takes events and the time, and
-//! returns actions. All instances are equal; one of them leads a cell at a
-//! time, which is agreed by a conditional write on a row of the platform's
-//! table. [`JobBook`] is what the ledger's events add up to.
+//! [`EntryCore`] is the state machine of one entry instance: it handles events with their time, and returns
+//! actions. All instances are equal. One of them leads a cell at a time; it becomes the leader by a
+//! conditional write to a row of the platform's table. [`JobBook`] is the state of all jobs, built from the
+//! ledger's events.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
