--- a/crates/bankvalve_queue/src/core/commit.rs
+++ b/crates/bankvalve_queue/src/core/commit.rs
@@ -140,7 +140,7 @@
             "{:?} committed {age} ms after its acceptance",
             record.outcome
         );
-        let given_up = record.given_up_task().map(|(task, count)| {
+        let given_up = record.crashing_task().map(|(task, count)| {
             let ends: Vec<String> = count.ends().iter().map(CrashEnd::to_string).collect();
             let (ends, chance) = (ends.join("; "), count.chance_ppm());
             let detail = format!(
--- a/crates/bankvalve_queue/src/core/lead_state.rs
+++ b/crates/bankvalve_queue/src/core/lead_state.rs
@@ -459,11 +459,11 @@
             }
             lead.due.pop_first();
             if let Some(record) = self.book.job_mut(job) {
-                if record.has_many_times() {
+                if record.has_max_open_repetitions() {
                     lead.due.insert((now + OPEN_TIMES_PAUSE_MS, job, time));
                     continue;
                 }
-                record.open_time(time);
+                record.open_repetition(time);
                 lead.dirty_jobs.insert(job);
                 if time + 1 < record.spec.times() {
                     let next = record.spec.due_ms(time + 1);
--- a/crates/bankvalve_queue/src/core/waiting_steps.rs
+++ b/crates/bankvalve_queue/src/core/waiting_steps.rs
@@ -5,7 +5,7 @@
 use crate::customer::CustomerName;
 use crate::ids::{CoreTime, JobId, StepKey, TaskKey, WorkerId};
 use crate::job::{StepSpec, TaskSize};
-use crate::ledger::{JobOutcome, JobRecord, TaskPhase, TimeRecord};
+use crate::ledger::{JobOutcome, JobRecord, RepetitionRecord, TaskPhase};
 
 /// Multiple of its objective after which a job earns nothing.
 const MAX_USEFUL_FACTOR: f64 = 3.0;
@@ -213,7 +213,7 @@
 fn add_placed_tasks(
     job: JobId,
     time: u32,
-    record: &TimeRecord,
+    record: &RepetitionRecord,
     into: &mut Vec<(TaskKey, WorkerId)>,
 ) {
     for number in 0..record.steps.len() {
@@ -222,7 +222,11 @@
     }
 }
 
-fn add_placed_in_step(key: StepKey, record: &TimeRecord, into: &mut Vec<(TaskKey, WorkerId)>) {
+fn add_placed_in_step(
+    key: StepKey,
+    record: &RepetitionRecord,
+    into: &mut Vec<(TaskKey, WorkerId)>,
+) {
     let tasks = &record.steps[usize::from(key.step)].tasks;
     for (index, task) in tasks.iter().enumerate() {
         if let TaskPhase::Placed { worker, .. } = &task.phase {
--- a/crates/bankvalve_queue/src/ledger/crash_count.rs
+++ b/crates/bankvalve_queue/src/ledger/crash_count.rs
@@ -235,7 +235,7 @@
     }
 
     /// Takes back the end of a worker that has told of the run since: it lives.
-    pub fn take_back(&mut self, run: RunId) {
+    pub fn remove_end(&mut self, run: RunId) {
         self.ends.retain(|end| end.run != run);
     }
 
--- a/crates/bankvalve_queue/src/ledger/job_book.rs
+++ b/crates/bankvalve_queue/src/ledger/job_book.rs
@@ -17,12 +17,12 @@
 
 /// One time of a job.
 #[derive(Clone, Debug)]
-pub struct TimeRecord {
+pub struct RepetitionRecord {
     /// Its steps.
     pub steps: Vec<StepRecord>,
 }
 
-impl TimeRecord {
+impl RepetitionRecord {
     fn new(spec: &JobSpec) -> Self {
         Self {
             steps: spec.steps.iter().map(StepRecord::new).collect(),
@@ -72,7 +72,7 @@
     /// Whether a task has begun.
     pub begun: bool,
     /// Times that have begun to be worked on and are not done.
-    pub times: BTreeMap<u32, TimeRecord>,
+    pub times: BTreeMap<u32, RepetitionRecord>,
     /// Times that are done.
     pub times_done: u32,
     /// Least time that has not been opened yet.
@@ -88,7 +88,7 @@
     }
 
     /// The task for which it was given up because workers ended under it, with these.
-    pub fn given_up_task(&self) -> Option<(TaskKey, &CrashCount)> {
+    pub fn crashing_task(&self) -> Option<(TaskKey, &CrashCount)> {
         if self.outcome != JobOutcome::Failed {
             return None;
         }
@@ -121,7 +121,7 @@
     }
 
     /// Whether it has so many open times that the next one waits, although it is due.
-    pub fn has_many_times(&self) -> bool {
+    pub fn has_max_open_repetitions(&self) -> bool {
         self.times.len() >= OPEN_TIMES
     }
 
@@ -137,9 +137,9 @@
     }
 
     /// Opens a time, so that its steps can be worked on.
-    pub fn open_time(&mut self, time: u32) {
+    pub fn open_repetition(&mut self, time: u32) {
         while self.next_time <= time {
-            let record = TimeRecord::new(&self.spec);
+            let record = RepetitionRecord::new(&self.spec);
             self.times.insert(self.next_time, record);
             self.next_time += 1;
         }
@@ -159,7 +159,7 @@
         if !self.has_place_for(task) {
             return;
         }
-        self.open_time(task.step.time);
+        self.open_repetition(task.step.time);
         self.begun = true;
         let Some(time) = self.times.get_mut(&task.step.time) else {
             return;
@@ -207,7 +207,7 @@
         // What a worker tells of a run shows that it had not ended under it.
         let lost = matches!(how, EndKind::Lost | EndKind::Crashed(_) | EndKind::NeverRan);
         if let Some(count) = step.tasks[index].crashes.as_deref_mut().filter(|_| !lost) {
-            count.take_back(run);
+            count.remove_end(run);
         }
         match how {
             EndKind::Done if lasting => step.set_phase(index, TaskPhase::Waiting),
@@ -337,7 +337,7 @@
             next_time: 0,
         };
         if spec.repeats == 0 {
-            record.open_time(0);
+            record.open_repetition(0);
         }
         self.jobs.insert(spec.id, record);
     }
--- a/crates/bankvalve_queue/src/ledger/mod.rs
+++ b/crates/bankvalve_queue/src/ledger/mod.rs
@@ -7,5 +7,5 @@
 
 pub use crash_count::{CrashCount, CrashEnd, CrashEvidence, CrashWeight};
 pub use event::{EndKind, LedgerBatch, LedgerEvent};
-pub use job_book::{JobBook, JobOutcome, JobRecord, TimeRecord};
+pub use job_book::{JobBook, JobOutcome, JobRecord, RepetitionRecord};
 pub use step_record::{StepRecord, TaskPhase, TaskRecord};
--- a/crates/bankvalve_queue/src/lib.rs
+++ b/crates/bankvalve_queue/src/lib.rs
@@ -37,7 +37,7 @@
 pub use job::{JobProblem, JobSpec, JobTerms, StepSpec, TaskSize};
 pub use ledger::{
     CrashCount, CrashEnd, CrashEvidence, CrashWeight, EndKind, JobBook, JobOutcome, JobRecord,
-    LedgerBatch, LedgerEvent, StepRecord, TaskPhase, TaskRecord, TimeRecord,
+    LedgerBatch, LedgerEvent, RepetitionRecord, StepRecord, TaskPhase, TaskRecord,
 };
 pub use peer::{
     peer_batch_timeout, BatchTimeout, HeartbeatBody, HeartbeatEcho, PeerAddress, PeerBatch,
