--- a/crates/bankvalve_queue/src/ledger/crash_count.rs
+++ b/crates/bankvalve_queue/src/ledger/crash_count.rs
@@ -1,16 +1,15 @@
-//! Workers that ended under a task, and when that is enough to give the task up.
+//! Workers that ended while running a task, and when this is enough evidence to fail its job.
 //!
-//! The pattern that it answers: a task that ends each worker that starts it, handed to the next one
-//! by a retry without a budget, takes a site's workers down one after the other, each with all that
-//! runs there. Such a worker cannot tell of the end, so it is counted here, in the ledger, where it
-//! outlasts the leader.
+//! Problem: a task that crashes every worker that starts it, retried without a limit, takes down a site's
+//! workers one after the other, each with everything that runs there. Such a worker cannot report the end
+//! of the run. So the ends are counted here, in the ledger, where the count survives a change of leader.
 //!
-//! Workers are lost by themselves as well, one by one or a failure domain at a time, and take along what
-//! had just been started there. So an end is proof only by what was seen of it: the worker's port
-//! refused soon after the order, and no other run there was new. Even that happens by chance; how
-//! seldom is reckoned with each end and kept with it, and a task is given up once chance is no
-//! explanation for all of them. An end of which less was seen
-//! makes a suspect at most, which is tried where nothing else runs.
+//! Workers are also lost for other reasons, one by one or a failure domain at a time, together with the runs
+//! that had just started there. So an end is proof (strong evidence) only if enough was seen of it: the
+//! worker's port refused connections soon after the start order, and no other run there was new. Even that
+//! happens by chance. The probability is estimated for each end and stored with it, and the job fails once
+//! chance no longer explains all of the ends. An end of which less was seen makes the task at most a
+//! suspect, whose next run is isolated from other runs.
 
 use std::fmt;
 use std::time::Duration;
@@ -19,52 +18,54 @@
 
 use crate::ids::{RunId, WorkerId};
 
-/// Workers that ended under a task from which on it is a suspect, however the ends came about. One is
-/// too few: of some 170 workers lost in two minutes of an ordinary bad day each took five to
-/// thirteen runs along.
-const SUSPECT_CRASHES: usize = 2;
-/// Least ends that are proof before a task is given up: the users' own figure. A trial takes nobody
-/// along, so a second one costs little; a job that is given up wrongly is lost.
-const LEAST_PROOFS: usize = 2;
-/// Odds that chance ended all workers that are proof, up to which a task is given up, in parts per
-/// million.
-const CHANCE_LIMIT_PPM: f64 = 50.0;
-/// Ends from which on a task starts only where nothing else that is new runs, if one of its workers ended
-/// right after its start: each start more is one of the few that the users grant it.
-const GRAVE_CRASHES: usize = 2;
-/// Ends right after a start after which one proof is enough. The users take five starts after the third
-/// worker for too many; this leaves room for an end of which no word came.
-const MOST_YOUNG: usize = 4;
-/// Ends from which on the starts of a task are counted, runs whose end nobody told among them, and starts that
-/// are granted to it then: the users take a third one for too many.
-const COUNTED_ENDS: usize = 3;
-const MOST_STARTS: u32 = 2;
-/// Time for which a trial goes on past the age at which runs ended before, and that age where it is not
-/// known, in milliseconds.
+/// Number of ends from which a task is a suspect, whatever the evidence. One is too few: on an ordinary bad
+/// day, about 170 workers were lost within two minutes, each with five to thirteen runs.
+const MIN_SUSPECT_ENDS: usize = 2;
+/// Minimum number of proofs for which a job fails without further evidence, as the users require. A second
+/// trial run costs little because it is isolated, while a job that fails wrongly is lost.
+const MIN_PROOFS: usize = 2;
+/// Highest probability that all proofs are chance at which [`MIN_PROOFS`] proofs are conclusive, in parts
+/// per million.
+const MAX_CHANCE_PPM: f64 = 50.0;
+/// Number of ends from which a task with an early crash must not start beside other new runs. The users allow
+/// it only a few more starts, and an end beside other new runs is no proof.
+const MIN_ISOLATION_ENDS: usize = 2;
+/// Number of early crashes from which one proof is enough. The users consider five starts after the third
+/// lost worker too many; this number allows for one end that nobody reported.
+const EARLY_CRASH_LIMIT: usize = 4;
+/// Number of earlier ends, including unreported ones, from which the further starts of a task are counted.
+const ENDS_BEFORE_START_COUNT: usize = 3;
+/// Number of counted starts after which the job fails if a proof is consistent with the other ends. The users
+/// consider a third one too many.
+const MAX_STARTS: u32 = 2;
+/// Time for which a trial run stays isolated beyond the age at which earlier runs ended, in milliseconds.
 const TRIAL_SLACK_MS: u32 = 250;
-const UNKNOWN_AGE_MS: u32 = 750;
-/// Longest age that a trial waits for, of one end and of ends that were alike, and by how much these may
-/// differ; in milliseconds.
-const SINGLE_AGE_MS: u32 = 1_500;
-const LONGEST_AGE_MS: u32 = 6_000;
-const ALIKE_MS: u32 = 500;
-/// Time by which a run must have outlived all that ended with their workers before it, to show
-/// that its task does not end them, in milliseconds.
-const CLEARED_AFTER_MS: u32 = 1_000;
+/// Age at which earlier runs are assumed to have ended if none of the ages is known, in milliseconds.
+const DEFAULT_AGE_MS: u32 = 750;
+/// Highest age for which a trial run is isolated if only one run ended at about that age, in milliseconds.
+const MAX_SINGLE_AGE_MS: u32 = 1_500;
+/// Highest age for which a trial run is isolated if several runs ended at about that age, in milliseconds.
+const MAX_REPEATED_AGE_MS: u32 = 6_000;
+/// Largest difference between two ages that count as the same age, in milliseconds.
+const SAME_AGE_TOLERANCE_MS: u32 = 500;
+/// Time by which a run must have outlived all earlier runs that ended with their workers, to show that its
+/// task does not crash workers, in milliseconds.
+const CLEARED_MARGIN_MS: u32 = 1_000;
 
-/// What the end of a worker tells against a run that it had.
+/// How strongly the end of a worker counts against a run that it had.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum CrashWeight {
-    /// Little: it had run for a while, or it was not seen when and how the worker ended.
+    /// Weak evidence: the run had been running for a while, or it was not seen when and how the worker ended.
     Weak,
-    /// The worker ended right after the run was ordered, among other new runs or other workers.
+    /// Early crash: the worker ended right after the run was ordered, but the end is no proof. Other runs
+    /// there were new, for example, or other workers were lost as well.
     Young,
-    /// The worker ended soon after the run was ordered, the only new one there.
+    /// Strong evidence: the worker ended soon after the run was ordered, and no other run there was new.
     Proof,
 }
 
 impl CrashWeight {
-    /// Word for logs.
+    /// Returns the word for logs.
     pub fn as_str(self) -> &'static str {
         match self {
             CrashWeight::Weak => "weak",
@@ -74,28 +75,29 @@
     }
 }
 
-/// What was seen of a worker's end under a run.
+/// What was seen of the end of a worker that had a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "StoredEvidence")]
 pub struct CrashEvidence {
-    /// What it tells against the task.
+    /// How strongly it counts against the task.
     pub weight: CrashWeight,
-    /// Whether the worker answered the order, or a list had the run.
+    /// Whether the worker answered the start order or reported the run.
     pub confirmed: bool,
-    /// Time from the order until a list last had the run, in milliseconds; 0 if none had.
+    /// Time from the order until the worker last reported the run as running, in milliseconds; 0 if it
+    /// never did.
     pub alive_ms: u32,
-    /// Time from the order until the worker's port first refused, or another life answered, in
-    /// milliseconds; none if neither was seen, or a leader before gave the order.
+    /// Time from the order until the worker's port first refused connections or another process answered, in
+    /// milliseconds. `None` if neither was seen, or if a former leader sent the order.
     pub over_ms: Option<u32>,
-    /// Other runs on the worker that were new.
+    /// Number of other runs on the worker that were new.
     pub beside: u32,
-    /// Other workers that were lost at the same time.
+    /// Number of other workers that were lost at the same time.
     pub others: u32,
-    /// Odds that a worker ends by chance in the time in which this one did, in parts per million.
+    /// Probability that a worker ends by chance within the time in which this one did, in parts per million.
     pub chance_ppm: u32,
 }
 
-/// Evidence as ledgers have it: a version before this one kept a word alone.
+/// Evidence as stored in ledgers. An earlier version stored only the word for the weight.
 #[derive(Deserialize)]
 #[serde(untagged)]
 enum StoredEvidence {
@@ -123,7 +125,7 @@
                 others,
                 chance_ppm,
             },
-            // What was seen is not known: it makes a suspect at most.
+            // What was seen is unknown, so the evidence makes the task at most a suspect.
             StoredEvidence::Word(word) => Self {
                 weight: match word.as_str() {
                     "Weak" => CrashWeight::Weak,
@@ -143,32 +145,32 @@
 impl fmt::Display for CrashEvidence {
     fn fmt(&self, into: &mut fmt::Formatter<'_>) -> fmt::Result {
         let answered = match (self.confirmed, self.alive_ms) {
-            (false, _) => "the order not answered".to_owned(),
-            (true, 0) => "never listed".to_owned(),
-            (true, alive) => format!("listed until {alive} ms after the order"),
+            (false, _) => "order not answered".to_owned(),
+            (true, 0) => "never reported as running".to_owned(),
+            (true, alive) => format!("last reported as running {alive} ms after the order"),
         };
         let over = match self.over_ms {
-            Some(over) => format!("surely ended {over} ms after it"),
-            None => "not seen when it ended".to_owned(),
+            Some(over) => format!("known to have ended {over} ms after the order"),
+            None => "time of the end unknown".to_owned(),
         };
         let weight = self.weight.as_str();
         let (beside, others, chance) = (self.beside, self.others, self.chance_ppm);
         write!(
             into,
-            "{answered}, {over}, {beside} new runs beside, {others} other workers lost with it, by chance \
-             {chance} in a million: {weight} evidence"
+            "{answered}, {over}, {beside} other new runs on the worker, {others} other workers lost at the \
+             same time, odds by chance {chance} in a million: {weight} evidence"
         )
     }
 }
 
-/// The end of a worker under a run.
+/// The end of a worker that had a run of a task.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CrashEnd {
     /// The worker.
     pub worker: WorkerId,
     /// The run.
     pub run: RunId,
-    /// What was seen of it.
+    /// What was seen of the end.
     pub evidence: CrashEvidence,
 }
 
@@ -182,7 +184,7 @@
     }
 }
 
-/// Workers that ended under one task.
+/// The ends of workers that had a run of one task.
 ///
 /// # Examples
 ///
@@ -209,17 +211,19 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct CrashCount {
     ends: Vec<CrashEnd>,
-    /// Runs since the first end of which nobody told how they ended: their workers may have ended as well.
-    untold: usize,
-    /// Runs that have ended, and not well, since its starts are counted.
+    /// Number of runs since the first recorded end of which nobody reported how they ended, and whose
+    /// worker has no recorded end. Their workers may have ended as well.
+    unreported: usize,
+    /// Number of runs that ended without success after [`ENDS_BEFORE_START_COUNT`] earlier ends.
     starts: u32,
 }
 
 impl CrashCount {
-    /// Notes that a worker ended; once a run, by what was seen when it ended.
+    /// Records the end of a worker. Of several for the same run, the latest with a known time of the end
+    /// counts, or else the first.
     ///
-    /// A run that has outlived all that ended with their workers before clears its task of those: what
-    /// ends its workers does so again at about the same age.
+    /// If the run has outlived all earlier runs that ended with their workers, the earlier ends are
+    /// discarded: a task that crashes workers does so again at about the same age.
     pub fn note(&mut self, end: CrashEnd) {
         if let Some(known) = self.ends.iter_mut().find(|known| known.run == end.run) {
             if end.evidence.over_ms.is_some() {
@@ -228,62 +232,61 @@
             return;
         }
         let oldest = self.oldest_age_ms().unwrap_or_default();
-        if end.evidence.alive_ms >= oldest + CLEARED_AFTER_MS {
+        if end.evidence.alive_ms >= oldest + CLEARED_MARGIN_MS {
             *self = Self::default();
         }
         self.ends.push(end);
     }
 
-    /// Takes back the end of a worker that has told of the run since: it lives.
+    /// Removes the end of a worker that has reported the run since, so it had not ended.
     pub fn remove_end(&mut self, run: RunId) {
         self.ends.retain(|end| end.run != run);
     }
 
-    /// Notes that a run has ended, and not well; `told` is whether anybody told how. An end that is noted is
-    /// noted first.
-    pub fn note_run(&mut self, run: RunId, told: bool) {
+    /// Records that a run has ended without success; `reported` is whether it is known how. If its worker
+    /// ended, [`note`](Self::note) must be called first.
+    pub fn note_run(&mut self, run: RunId, reported: bool) {
         let before = self.ends.iter().filter(|end| end.run != run).count();
-        if before + self.untold >= COUNTED_ENDS {
+        if before + self.unreported >= ENDS_BEFORE_START_COUNT {
             self.starts += 1;
-        } else if !told && before == self.ends.len() {
-            self.untold += 1;
+        } else if !reported && before == self.ends.len() {
+            self.unreported += 1;
         }
     }
 
-    /// The ends, in order.
+    /// Returns the ends, in the order in which they were recorded.
     pub fn ends(&self) -> &[CrashEnd] {
         &self.ends
     }
 
-    /// Greatest age at which a run ended with its worker, where that is known; in milliseconds.
+    /// Returns the highest known age at which a run ended with its worker, in milliseconds.
     fn oldest_age_ms(&self) -> Option<u32> {
         let ages = self.ends.iter().map(|end| end.evidence.over_ms);
         ages.flatten().max()
     }
 
-    /// Time for which a run is kept apart from others, so that an end like those before it shows: one at
-    /// a great age only if two of them were alike.
+    /// Returns how long a trial run is isolated from other runs, to see whether its worker ends at the same
+    /// age as before. A high age counts only if two runs ended at about that age.
     pub fn trial_time(&self) -> Duration {
         let ages = self.ends.iter().filter_map(|end| end.evidence.over_ms);
-        let alike = |age: &u32| {
+        let same_age = |age: &u32| {
             let others = self.ends.iter().filter_map(|end| end.evidence.over_ms);
             others
-                .filter(|other| other.abs_diff(*age) <= ALIKE_MS)
+                .filter(|other| other.abs_diff(*age) <= SAME_AGE_TOLERANCE_MS)
                 .count()
                 > 1
         };
         let repeated = ages
             .clone()
-            .filter(alike)
+            .filter(same_age)
             .max()
-            .map(|age| age.min(LONGEST_AGE_MS));
-        let single = ages.max().unwrap_or(UNKNOWN_AGE_MS).min(SINGLE_AGE_MS);
+            .map(|age| age.min(MAX_REPEATED_AGE_MS));
+        let single = ages.max().unwrap_or(DEFAULT_AGE_MS).min(MAX_SINGLE_AGE_MS);
         let age = repeated.map_or(single, |age| age.max(single));
         Duration::from_millis(u64::from(age + TRIAL_SLACK_MS))
     }
 
-    /// The ends of workers of which none had ended under the task before: one cause may end the same worker
-    /// again and again.
+    /// Returns the first end of each worker. One cause may end the same worker again and again.
     fn independent(&self) -> impl Iterator<Item = &CrashEnd> {
         let numbered = self.ends.iter().enumerate();
         let first = |(number, end): &(usize, &CrashEnd)| {
@@ -293,35 +296,36 @@
         numbered.filter(first).map(|(_, end)| end)
     }
 
-    /// The ends that are proof.
+    /// Returns the evidence of the ends that are proof.
     fn proofs(&self) -> impl Iterator<Item = &CrashEvidence> {
         let evidence = self.independent().map(|end| &end.evidence);
         evidence.filter(|evidence| evidence.weight == CrashWeight::Proof)
     }
 
-    /// Whether one of the ends is proof.
+    /// Returns whether one of the ends is proof.
     pub fn has_proof(&self) -> bool {
         self.proofs().next().is_some()
     }
 
-    /// Whether the task is started only where nothing else runs, if that can be had.
+    /// Returns whether the task is a suspect, which starts on a worker where nothing else runs, if possible.
     pub fn is_suspect(&self) -> bool {
-        self.has_early_crash() || self.ends.len() >= SUSPECT_CRASHES
+        self.has_early_crash() || self.ends.len() >= MIN_SUSPECT_ENDS
     }
 
-    /// Whether one of its workers ended right after it was started there.
+    /// Returns whether a worker ended right after the task was started there.
     pub fn has_early_crash(&self) -> bool {
         let mut ends = self.ends.iter();
         ends.any(|end| end.evidence.weight > CrashWeight::Weak)
     }
 
-    /// Whether the task is never started beside others that are new.
+    /// Returns whether the task must not start beside other new runs.
     pub fn must_be_isolated(&self) -> bool {
-        self.has_early_crash() && self.ends.len() >= GRAVE_CRASHES
+        self.has_early_crash() && self.ends.len() >= MIN_ISOLATION_ENDS
     }
 
-    /// Shortest span of ages in which this end of a run, seen alive at one age and over at another, and
-    /// one before it lie; in milliseconds.
+    /// Returns the shortest span of ages that covers both a new end and one of the recorded ends, in
+    /// milliseconds. Each end lies between the age at which the run was last reported as running and the age
+    /// at which the worker is known to have ended.
     pub fn common_age_ms(&self, alive_ms: u32, over_ms: u32) -> Option<u32> {
         let ages = self.ends.iter().filter_map(|end| {
             let over = end.evidence.over_ms?;
@@ -331,38 +335,50 @@
             .min()
     }
 
-    /// The ends that are proof but for the first end: of all tasks those are looked at under which a worker ended.
+    /// Returns the evidence of the ends that are proof, without the first end. Every task that
+    /// is examined has a first end, whatever its cause.
     fn later_proofs(&self) -> impl Iterator<Item = &CrashEvidence> {
         let later = self.independent().skip(1).map(|end| &end.evidence);
         later.filter(|evidence| evidence.weight == CrashWeight::Proof)
     }
 
-    /// Whether all workers may have ended at the age that a proof tells, as far as their ages are known.
-    fn agree_with(&self, proof: &CrashEvidence) -> bool {
-        let last = proof.over_ms.unwrap_or(u32::MAX).saturating_add(ALIKE_MS);
+    /// Returns whether all workers may have ended at the age that a proof shows, as far as their ages are
+    /// known.
+    fn is_consistent_with(&self, proof: &CrashEvidence) -> bool {
+        let last = proof
+            .over_ms
+            .unwrap_or(u32::MAX)
+            .saturating_add(SAME_AGE_TOLERANCE_MS);
         let mut ends = self.ends.iter().map(|end| &end.evidence);
         ends.all(|end| {
-            let over = end.over_ms.unwrap_or(u32::MAX).saturating_add(ALIKE_MS);
+            let over = end
+                .over_ms
+                .unwrap_or(u32::MAX)
+                .saturating_add(SAME_AGE_TOLERANCE_MS);
             end.alive_ms <= last && proof.alive_ms <= over
         })
     }
 
-    /// Odds that chance ended all workers that are proof, in parts per million; the first end has no part in them.
+    /// Returns the probability that chance ended all workers whose ends are proof, in parts per million. The
+    /// first end is excluded.
     pub fn chance_ppm(&self) -> f64 {
         let proofs = self.later_proofs();
         let chances = proofs.map(|evidence| f64::from(evidence.chance_ppm) / 1e6);
         chances.product::<f64>() * 1e6
     }
 
-    /// Whether the task is given up.
+    /// Returns whether the evidence is sufficient to fail the task's job.
     pub fn is_conclusive(&self) -> bool {
         let proofs = self.proofs().count();
-        let proven = proofs >= LEAST_PROOFS && self.chance_ppm() <= CHANCE_LIMIT_PPM;
-        let young =
+        let proven = proofs >= MIN_PROOFS && self.chance_ppm() <= MAX_CHANCE_PPM;
+        let early =
             |end: &&CrashEnd| end.evidence.confirmed && end.evidence.weight > CrashWeight::Weak;
-        let many = self.independent().filter(young).count() >= MOST_YOUNG;
-        let alike = || self.later_proofs().any(|proof| self.agree_with(proof));
-        let started = self.starts >= MOST_STARTS && alike();
+        let many = self.independent().filter(early).count() >= EARLY_CRASH_LIMIT;
+        let consistent = || {
+            self.later_proofs()
+                .any(|proof| self.is_consistent_with(proof))
+        };
+        let started = self.starts >= MAX_STARTS && consistent();
         proven || started || (proofs > 0 && many)
     }
 }
--- a/crates/bankvalve_queue/src/ledger/event.rs
+++ b/crates/bankvalve_queue/src/ledger/event.rs
@@ -1,4 +1,4 @@
-//! Events of the ledger and how they are encoded.
+//! Events of the ledger and their encoding.
 
 use std::sync::Arc;
 
@@ -11,28 +11,28 @@
 /// How a run ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum EndKind {
-    /// Well.
+    /// It succeeded.
     Done,
-    /// By its own fault or the worker's.
+    /// It failed, through its own fault or the worker's.
     Failed,
     /// It was stopped.
     Stopped,
-    /// The worker's hold ran out.
+    /// The worker's lease expired.
     Lapsed,
     /// Another member of its gang ended.
     Broken,
-    /// The other members of its gang did not come.
+    /// The other members of its gang did not start in time.
     Alone,
-    /// The worker is surely over, or its hold.
+    /// The worker is known to have ended, or its lease to have expired.
     Lost,
-    /// The order surely took no effect.
+    /// The start order is known to have had no effect.
     NeverRan,
-    /// The worker ended under it, by all that is known without having planned to.
+    /// The worker ended while running it. As far as is known, this was not a planned stop.
     Crashed(CrashEvidence),
 }
 
 impl EndKind {
-    /// Word for logs.
+    /// Returns the word for logs.
     pub fn as_str(self) -> &'static str {
         match self {
             EndKind::Done => "done",
@@ -48,7 +48,7 @@
     }
 }
 
-/// Something that happened to a job and is kept.
+/// A change of a job or of a worker's lease that is committed to the ledger.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum LedgerEvent {
     /// A job was accepted.
@@ -67,7 +67,7 @@
         /// When, by the leader's time of day.
         at: WallMillis,
     },
-    /// A run is about to be ordered.
+    /// A start order for a run is about to be sent.
     Started {
         /// The task.
         task: TaskKey,
@@ -82,31 +82,33 @@
         task: TaskKey,
         /// The run.
         run: RunId,
-        /// How.
+        /// How it ended.
         how: EndKind,
-        /// Progress saved; empty for none.
+        /// Saved progress; empty if there is none.
         saved: String,
-        /// When, by the leader's time of day; of a run that no list told of, when it was last heard of.
+        /// When, by the leader's time of day. For a run whose end the worker did not report, the last contact
+        /// with the run.
         at: WallMillis,
     },
-    /// A worker ended under a run that is not given up yet, since its hold may last. Kept as soon as it is
-    /// seen: the leader that saw it may be lost before.
+    /// A worker ended under a run that is not declared lost yet, because the worker's lease may still be
+    /// valid. Committed as soon as it is seen, because the leader that saw it may fail before the lease
+    /// expires.
     CrashSeen {
         /// The task.
         task: TaskKey,
         /// The run.
         run: RunId,
-        /// What was seen.
+        /// What was seen of the worker's end.
         evidence: CrashEvidence,
     },
-    /// A worker is silent: no leader prolongs its hold from here on until it is resumed.
+    /// A worker does not respond. No leader renews its lease until [`HoldResumed`](Self::HoldResumed).
     HoldStopped {
         /// The worker.
         worker: WorkerId,
-        /// Time after which its hold is over at the latest, in milliseconds.
+        /// Time after which its lease is known to have expired, in milliseconds.
         over_ms: u64,
     },
-    /// A worker's hold may be prolonged again, or it is forgotten.
+    /// A worker's lease may be renewed again, or the worker is forgotten.
     HoldResumed {
         /// The worker.
         worker: WorkerId,
@@ -114,7 +116,7 @@
 }
 
 impl LedgerEvent {
-    /// The job that it is about; none if it is about a worker.
+    /// Returns the job that the event is about, or `None` if it is about a worker.
     pub fn job(&self) -> Option<JobId> {
         match self {
             LedgerEvent::Accepted { spec, .. } => Some(spec.id),
@@ -127,7 +129,7 @@
     }
 }
 
-/// Events that are kept in one write.
+/// Events that are committed in one write.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct LedgerBatch {
     /// The events, in order.
@@ -144,7 +146,7 @@
     ///
     /// # Errors
     ///
-    /// Returns what is wrong with the bytes.
+    /// Returns an error if the bytes are not an encoded batch.
     ///
     /// # Examples
     ///
--- a/crates/bankvalve_queue/src/ledger/job_book.rs
+++ b/crates/bankvalve_queue/src/ledger/job_book.rs
@@ -1,24 +1,24 @@
-//! The state of all jobs, as the ledger's events make it.
+//! The book: the state of all jobs, built from the ledger's events.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
 use super::step_record::{
-    count_crash, count_failure, finish_gang, finish_whole_gang, keep_progress,
+    count_crash, count_failure, finish_all_members, finish_gang, record_progress,
 };
 use super::{CrashCount, CrashEvidence, EndKind, LedgerEvent, StepRecord, TaskPhase, TaskRecord};
 use crate::caller::JobState;
 use crate::ids::{JobId, RunId, StepKey, TaskKey, WallMillis, WorkerId};
 use crate::job::{JobSpec, JobTerms};
 
-/// Times of a job that are open at once: one whose times come faster than they are done, or are long
-/// due, would otherwise fill the memory of one leader after the other.
-const OPEN_TIMES: usize = 64;
+/// Maximum number of repetitions of a job that are open at once. A job whose repetitions fall due faster than
+/// they are done, or are long overdue, would otherwise fill the memory of one leader after another.
+const MAX_OPEN_REPETITIONS: usize = 64;
 
-/// One time of a job.
+/// State of one repetition of a job.
 #[derive(Clone, Debug)]
 pub struct RepetitionRecord {
-    /// Its steps.
+    /// State of each step.
     pub steps: Vec<StepRecord>,
 }
 
@@ -29,12 +29,12 @@
         }
     }
 
-    /// Tells whether all steps are done.
+    /// Returns whether all steps are done.
     pub fn is_done(&self) -> bool {
         self.steps.iter().all(StepRecord::is_done)
     }
 
-    /// Tells whether the steps that a step waits for are done.
+    /// Returns whether the steps that a step depends on are done.
     pub fn is_ready(&self, spec: &JobSpec, step: u16) -> bool {
         let after = &spec.steps[usize::from(step)].after;
         after
@@ -43,51 +43,52 @@
     }
 }
 
-/// How a job ended, if it has.
+/// Whether and how a job has ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum JobOutcome {
-    /// It goes on.
+    /// It has not ended.
     Open,
-    /// All times are done.
+    /// All repetitions are done.
     Succeeded,
-    /// A task failed for good.
+    /// A task failed permanently or crashed too many workers.
     Failed,
     /// It was cancelled.
     Cancelled,
 }
 
-/// A job.
+/// State of a job.
 #[derive(Clone, Debug)]
 pub struct JobRecord {
-    /// As its caller described it.
+    /// The job as its caller described it.
     pub spec: Arc<JobSpec>,
-    /// Terms of its queue when it was accepted.
+    /// Terms of its queue at the time of its acceptance.
     pub terms: JobTerms,
-    /// When it was accepted.
+    /// When it was accepted, by the leader's time of day.
     pub accepted_at: WallMillis,
-    /// When it ended.
+    /// When it ended, by the leader's time of day; 0 before that.
     pub ended_at: WallMillis,
-    /// How it ended.
+    /// Whether and how it has ended.
     pub outcome: JobOutcome,
-    /// Whether a task has begun.
+    /// Whether a task has started.
     pub begun: bool,
-    /// Times that have begun to be worked on and are not done.
+    /// Open repetitions by number: those that were opened and are not done.
     pub times: BTreeMap<u32, RepetitionRecord>,
-    /// Times that are done.
+    /// Number of repetitions that are done.
     pub times_done: u32,
-    /// Least time that has not been opened yet.
+    /// Number of the first repetition that has not been opened yet.
     pub next_time: u32,
 }
 
 impl JobRecord {
-    /// Tells whether a task of it has ended well.
+    /// Returns whether a task of it has succeeded.
     pub fn has_done_task(&self) -> bool {
         let steps = self.times.values().flat_map(|time| &time.steps);
         let mut tasks = steps.flat_map(|step| &step.tasks);
         self.times_done > 0 || tasks.any(|task| task.phase == TaskPhase::Done)
     }
 
-    /// The task for which it was given up because workers ended under it, with these.
+    /// Returns the task for which the job failed because workers ended under it, and the ends of these
+    /// workers.
     pub fn crashing_task(&self) -> Option<(TaskKey, &CrashCount)> {
         if self.outcome != JobOutcome::Failed {
             return None;
@@ -109,7 +110,7 @@
             })
     }
 
-    /// How the job stands, as its caller is told.
+    /// Returns the job's state as reported to its caller.
     pub fn state(&self) -> JobState {
         match self.outcome {
             JobOutcome::Succeeded => JobState::Succeeded,
@@ -120,23 +121,23 @@
         }
     }
 
-    /// Whether it has so many open times that the next one waits, although it is due.
+    /// Returns whether so many repetitions are open that the next one waits, although it is due.
     pub fn has_max_open_repetitions(&self) -> bool {
-        self.times.len() >= OPEN_TIMES
+        self.times.len() >= MAX_OPEN_REPETITIONS
     }
 
-    /// Whether a task is one of the job's, of a time that is open or may be opened next.
+    /// Returns whether a task is one of the job's, in a repetition that was opened or may be opened next.
     ///
-    /// What names another one is passed over: a leader that ended on it would hand it to the next,
-    /// which reads the same ledger.
-    fn has_place_for(&self, task: TaskKey) -> bool {
+    /// Events that name another task are ignored. If a leader crashed on one, its successors would crash as
+    /// well, because they read the same ledger.
+    fn has_task(&self, task: TaskKey) -> bool {
         let step = self.spec.steps.get(usize::from(task.step.step));
-        let next = self.next_time.saturating_add(OPEN_TIMES as u32);
+        let next = self.next_time.saturating_add(MAX_OPEN_REPETITIONS as u32);
         let time = task.step.time;
         time < self.spec.times() && time < next && step.is_some_and(|step| task.index < step.count)
     }
 
-    /// Opens a time, so that its steps can be worked on.
+    /// Opens all repetitions up to this one, so that their steps can start.
     pub fn open_repetition(&mut self, time: u32) {
         while self.next_time <= time {
             let record = RepetitionRecord::new(&self.spec);
@@ -145,18 +146,18 @@
         }
     }
 
-    /// A step of an open time.
+    /// Returns a step of an open repetition.
     pub fn step(&self, key: StepKey) -> Option<&StepRecord> {
         self.times.get(&key.time)?.steps.get(usize::from(key.step))
     }
 
-    /// A task of an open time.
+    /// Returns a task of an open repetition.
     pub fn task(&self, key: TaskKey) -> Option<&TaskRecord> {
         self.step(key.step)?.tasks.get(key.index as usize)
     }
 
     fn apply_start(&mut self, task: TaskKey, run: RunId, worker: &WorkerId) {
-        if !self.has_place_for(task) {
+        if !self.has_task(task) {
             return;
         }
         self.open_repetition(task.step.time);
@@ -177,7 +178,7 @@
     }
 
     fn apply_end(&mut self, task: TaskKey, run: RunId, how: EndKind, saved: &str, at: WallMillis) {
-        if !self.has_place_for(task) {
+        if !self.has_task(task) {
             return;
         }
         let number = usize::from(task.step.step);
@@ -192,26 +193,26 @@
         let index = task.index as usize;
         let current =
             matches!(&step.tasks[index].phase, TaskPhase::Placed { run: now, .. } if *now == run);
-        // It was given up meanwhile, as its worker was silent; the worker's word counts.
+        // The run was declared lost while its worker did not respond. The worker's report counts.
         let late = how == EndKind::Done && step.may_report_late(index, run) && !lasting;
         if !current && !late {
             return;
         }
-        // An order that took no effect ended no time away.
+        // A start order that had no effect does not end the task's downtime.
         if how != EndKind::NeverRan {
             step.tasks[index].ended_at = at;
         }
         if !saved.is_empty() {
-            keep_progress(step, index, gang, saved);
+            record_progress(step, index, gang, saved);
         }
-        // What a worker tells of a run shows that it had not ended under it.
+        // A worker's report about a run shows that the worker had not ended under it.
         let lost = matches!(how, EndKind::Lost | EndKind::Crashed(_) | EndKind::NeverRan);
         if let Some(count) = step.tasks[index].crashes.as_deref_mut().filter(|_| !lost) {
             count.remove_end(run);
         }
         match how {
             EndKind::Done if lasting => step.set_phase(index, TaskPhase::Waiting),
-            EndKind::Done if gang && late => finish_whole_gang(step),
+            EndKind::Done if gang && late => finish_all_members(step),
             EndKind::Done if gang => finish_gang(step, run),
             EndKind::Done => step.set_phase(index, TaskPhase::Done),
             EndKind::Failed => {
@@ -230,12 +231,12 @@
             _ => step.set_phase(index, TaskPhase::Waiting),
         }
         if !matches!(how, EndKind::Done | EndKind::NeverRan) {
-            // The runs of a task that lasts end for many reasons, most of them after a long life.
+            // Runs of a long-running task end for many reasons, most of them after a long time.
             let counted = step.tasks[index].crashes.as_mut().filter(|_| !lasting);
             if let Some(count) = counted {
                 count.note_run(run, how != EndKind::Lost);
             }
-            self.give_up_if_spent(number, task);
+            self.fail_if_crashing(number, task);
         }
         if self.times[&task.step.time].is_done() {
             self.times.remove(&task.step.time);
@@ -246,9 +247,9 @@
         }
     }
 
-    /// A worker has ended under a run that is not given up yet.
+    /// Records that a worker has ended under a run that is not declared lost yet.
     fn apply_crash(&mut self, task: TaskKey, run: RunId, evidence: CrashEvidence) {
-        if !self.has_place_for(task) {
+        if !self.has_task(task) {
             return;
         }
         let time = self.times.get_mut(&task.step.time);
@@ -261,9 +262,9 @@
         }
     }
 
-    /// Gives the job up for a task that, started again and again, would take one worker after the other
-    /// down.
-    fn give_up_if_spent(&mut self, step: usize, task: TaskKey) {
+    /// Fails the job if a task has crashed so many workers that it would take down one after another if it
+    /// were started again.
+    fn fail_if_crashing(&mut self, step: usize, task: TaskKey) {
         let time = self.times.get(&task.step.time);
         let record = time.and_then(|time| time.steps[step].tasks.get(task.index as usize));
         let count = record.and_then(TaskRecord::crash_count);
@@ -273,7 +274,7 @@
     }
 }
 
-/// All jobs.
+/// The state of all jobs.
 #[derive(Clone, Debug, Default)]
 pub struct JobBook {
     jobs: BTreeMap<JobId, JobRecord>,
@@ -342,37 +343,37 @@
         self.jobs.insert(spec.id, record);
     }
 
-    /// A job.
+    /// Returns a job.
     pub fn job(&self, id: JobId) -> Option<&JobRecord> {
         self.jobs.get(&id)
     }
 
-    /// A job, to open a time of it.
+    /// Returns a job, to open a repetition of it.
     pub fn job_mut(&mut self, id: JobId) -> Option<&mut JobRecord> {
         self.jobs.get_mut(&id)
     }
 
-    /// All jobs.
+    /// Iterates over all jobs.
     pub fn jobs(&self) -> impl Iterator<Item = &JobRecord> {
         self.jobs.values()
     }
 
-    /// Number of jobs.
+    /// Returns the number of jobs.
     pub fn len(&self) -> usize {
         self.jobs.len()
     }
 
-    /// Tells whether there are none.
+    /// Returns whether there are no jobs.
     pub fn is_empty(&self) -> bool {
         self.jobs.is_empty()
     }
 
-    /// Takes back a job that was applied but surely not kept.
+    /// Removes a job whose acceptance was applied but is known not to be committed.
     pub fn withdraw(&mut self, id: JobId) {
         self.jobs.remove(&id);
     }
 
-    /// Forgets jobs that ended before a time.
+    /// Removes jobs that ended before a time.
     pub fn forget_ended(&mut self, before: WallMillis) {
         self.jobs
             .retain(|_, job| job.outcome == JobOutcome::Open || job.ended_at >= before);
--- a/crates/bankvalve_queue/src/ledger/mod.rs
+++ b/crates/bankvalve_queue/src/ledger/mod.rs
@@ -1,4 +1,4 @@
-//! What is kept: events, batches of them, and the state that they add up to.
+//! The ledger: its events, batches of events, and the state of all jobs that results from them.
 
 mod crash_count;
 mod event;
--- a/crates/bankvalve_queue/src/ledger/step_record.rs
+++ b/crates/bankvalve_queue/src/ledger/step_record.rs
@@ -1,39 +1,40 @@
-//! A step's tasks, and what ends of their runs do to them.
+//! The state of a step's tasks, and how ends of their runs change it.
 
 use super::{CrashCount, CrashEnd, CrashEvidence};
 use crate::ids::{RunId, WallMillis, WorkerId};
 use crate::job::StepSpec;
 
-/// Where a task stands.
+/// Phase of a task.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum TaskPhase {
-    /// It has no run.
+    /// It has no run and has not succeeded.
     Waiting,
-    /// A run was ordered, or is about to be.
+    /// A start order for a run was sent, or is about to be.
     Placed {
         /// The worker.
         worker: WorkerId,
         /// The run.
         run: RunId,
     },
-    /// It has ended well.
+    /// It has succeeded.
     Done,
 }
 
-/// A task.
+/// State of a task.
 #[derive(Clone, Debug)]
 pub struct TaskRecord {
-    /// Where it stands.
+    /// Its phase.
     pub phase: TaskPhase,
     /// Number of its newest run.
     pub last_run: RunId,
-    /// Runs that failed.
+    /// Number of runs that failed.
     pub failures: u32,
-    /// Workers that ended under it, if any did.
+    /// Ends of workers that had a run of it, or `None` if there were none.
     pub crashes: Option<Box<CrashCount>>,
-    /// When its newest run that ended was last known to run, by the time of day; 0 before that.
+    /// Time of day of the end of its newest ended run, or of the last contact with that run if the worker
+    /// did not report the end; 0 before the first end.
     pub ended_at: WallMillis,
-    /// Progress saved last; empty for none.
+    /// Progress that was saved last; empty if there is none.
     pub saved: String,
 }
 
@@ -49,27 +50,27 @@
         }
     }
 
-    /// Workers that ended under it, if any did.
+    /// Returns the ends of workers that had a run of it, or `None` if there were none.
     pub fn crash_count(&self) -> Option<&CrashCount> {
         self.crashes.as_deref()
     }
 
-    /// Whether it is started only where nothing else runs.
+    /// Returns whether it is a suspect, which starts on a worker where nothing else runs, if possible.
     pub fn is_suspect(&self) -> bool {
         self.crash_count().is_some_and(CrashCount::is_suspect)
     }
 }
 
-/// A step of one time.
+/// State of a step in one repetition.
 #[derive(Clone, Debug)]
 pub struct StepRecord {
     /// Its tasks.
     pub tasks: Vec<TaskRecord>,
-    /// Tasks that ended well.
+    /// Number of tasks that have succeeded.
     pub done: u32,
-    /// Tasks without a run.
+    /// Number of tasks that are waiting for a run.
     pub waiting: u32,
-    /// Newest run of a gang that failed.
+    /// Newest run of the gang that failed.
     failed_run: RunId,
 }
 
@@ -83,12 +84,12 @@
         }
     }
 
-    /// Tells whether all tasks have ended well.
+    /// Returns whether all tasks have succeeded.
     pub fn is_done(&self) -> bool {
         self.done as usize == self.tasks.len()
     }
 
-    /// Greatest run number that any of its tasks has had.
+    /// Returns the highest run number that any of its tasks has had.
     pub fn last_run(&self) -> RunId {
         self.tasks
             .iter()
@@ -97,10 +98,11 @@
             .unwrap_or(0)
     }
 
-    /// Tells whether a good end of another run than the one that is placed may still come of a task.
+    /// Returns whether a late success of this run of a task still counts: the task is not done, and the run
+    /// is not the one that is placed.
     ///
-    /// That no start of the run is known speaks against this book, not against the worker's word:
-    /// passed over, the end would be forgotten and its task done twice.
+    /// The run may be missing from this book, which is then incomplete, while the worker's report is right.
+    /// If the end were ignored, the worker would forget it, and the task would be done twice.
     pub(crate) fn may_report_late(&self, index: usize, run: RunId) -> bool {
         match self.tasks[index].phase {
             TaskPhase::Waiting => true,
@@ -125,8 +127,8 @@
     }
 }
 
-/// Progress of one member of a gang is good for all of them.
-pub(super) fn keep_progress(step: &mut StepRecord, index: usize, gang: bool, saved: &str) {
+/// Records the saved progress of a run. In a gang, the progress of one member applies to all.
+pub(super) fn record_progress(step: &mut StepRecord, index: usize, gang: bool, saved: &str) {
     if gang {
         for task in &mut step.tasks {
             task.saved = saved.to_owned();
@@ -136,7 +138,7 @@
     }
 }
 
-/// One good end of a gang stands for all members of the run.
+/// Marks the members of a gang that have this run, or none, as done, because one member has succeeded.
 pub(super) fn finish_gang(step: &mut StepRecord, run: RunId) {
     for index in 0..step.tasks.len() {
         let same =
@@ -147,8 +149,9 @@
     }
 }
 
-/// The same for a run that was given up, whatever has become of the members since.
-pub(super) fn finish_whole_gang(step: &mut StepRecord) {
+/// Marks all members of a gang as done, because a run that was declared lost has succeeded. It does not
+/// matter which run the members have now.
+pub(super) fn finish_all_members(step: &mut StepRecord) {
     for index in 0..step.tasks.len() {
         if step.tasks[index].phase != TaskPhase::Done {
             step.set_phase(index, TaskPhase::Done);
@@ -156,7 +159,7 @@
     }
 }
 
-/// A failure of any member of a gang counts once a run, for all members.
+/// Counts a failed run. In a gang, failures of several members in one run count once, for all members.
 pub(super) fn count_failure(step: &mut StepRecord, index: usize, gang: bool, run: RunId) {
     if !gang {
         step.tasks[index].failures += 1;
@@ -168,8 +171,8 @@
     }
 }
 
-/// A worker ended under a task. It counts against that one alone, also in a gang: of forty members on
-/// as many workers the others have nothing to do with it.
+/// Records that a worker ended under a task. This counts only against that task, also in a gang: if forty
+/// members run on forty workers, the others are not involved.
 pub(super) fn count_crash(task: &mut TaskRecord, evidence: CrashEvidence) {
     let TaskPhase::Placed { worker, run } = &task.phase else {
         return;
