--- a/crates/bankvalve_queue/src/customer.rs
+++ b/crates/bankvalve_queue/src/customer.rs
@@ -1,4 +1,4 @@
-//! Customers of a site: their keys, and what each may run.
+//! Customers of a site: their keys, shares and limits.
 
 use std::fmt;
 use std::sync::Arc;
@@ -10,17 +10,17 @@
 /// Name of a customer.
 pub type CustomerName = Arc<str>;
 
-/// Keyed digest of a customer's key; the key itself is kept nowhere.
+/// Keyed digest of a customer's key. The key itself is not stored.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct KeyDigest([u8; 32]);
 
 impl KeyDigest {
-    /// Takes the bytes of a digest.
+    /// Creates a digest from its bytes.
     pub fn new(bytes: [u8; 32]) -> Self {
         Self(bytes)
     }
 
-    /// The bytes.
+    /// Returns the bytes of the digest.
     pub fn as_bytes(&self) -> &[u8; 32] {
         &self.0
     }
@@ -32,7 +32,7 @@
     }
 }
 
-/// The most that a customer may have running at once; what is none has no bound.
+/// Maximum resources of a customer's running tasks; `None` for no limit.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RunLimit {
     /// Thousandths of a core.
@@ -44,20 +44,20 @@
 }
 
 impl RunLimit {
-    /// Tells whether nothing is bounded.
+    /// Returns whether nothing is limited.
     pub fn is_unlimited(&self) -> bool {
         *self == Self::default()
     }
 
-    /// Tells whether so much may run.
+    /// Returns whether these resources are within the limit.
     pub fn admits(&self, running: &TaskSize) -> bool {
-        let within = |most: Option<u64>, used: u64| most.is_none_or(|most| used <= most);
+        let within = |max: Option<u64>, used: u64| max.is_none_or(|max| used <= max);
         within(self.millicores, running.millicores)
             && within(self.memory_mib, running.memory_mib)
             && within(self.accelerators, running.accelerators)
     }
 
-    /// Tasks of a size that may start beside what runs.
+    /// Returns how many tasks of a size may start in addition to what runs.
     ///
     /// # Examples
     ///
@@ -70,8 +70,8 @@
     /// assert_eq!(RunLimit::default().tasks_beside(&task, &task), u64::MAX);
     /// ```
     pub fn tasks_beside(&self, running: &TaskSize, task: &TaskSize) -> u64 {
-        let count = |most: Option<u64>, used: u64, each: u64| match most {
-            Some(most) if each > 0 => most.saturating_sub(used) / each,
+        let count = |max: Option<u64>, used: u64, each: u64| match max {
+            Some(max) if each > 0 => max.saturating_sub(used) / each,
             _ => u64::MAX,
         };
         count(self.millicores, running.millicores, task.millicores)
@@ -83,7 +83,7 @@
             ))
     }
 
-    /// Tells whether this bounds something lower than another limit does.
+    /// Returns whether any of the resources has a lower limit than in another limit.
     pub fn is_lower_than(&self, other: &RunLimit) -> bool {
         let lower = |own: Option<u64>, other: Option<u64>| {
             own.is_some_and(|own| other.is_none_or(|other| own < other))
@@ -101,17 +101,17 @@
     pub name: CustomerName,
     /// Digests of its keys.
     pub keys: Vec<KeyDigest>,
-    /// Its share where there is not enough for all, in jobs a second; 0 for none.
+    /// Its share while there is not enough capacity for all, in jobs per second; 0 for none.
     pub weight: f64,
-    /// The most that it may have running.
+    /// Limit of its running tasks.
     pub limit: RunLimit,
 }
 
-/// Who asks, by the key that came with the request.
+/// The caller of a request, identified by the key in the request.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CallerIdentity {
-    /// Customer that the key belongs to; none without a key, on a public queue.
+    /// Customer that the key belongs to; `None` for a request without a key on a public queue.
     pub customer: Option<CustomerName>,
-    /// Digest of the key.
+    /// Digest of the key, if there is one.
     pub key: Option<KeyDigest>,
 }
--- a/crates/bankvalve_queue/src/ids.rs
+++ b/crates/bankvalve_queue/src/ids.rs
@@ -1,4 +1,4 @@
-//! Names and times.
+//! Identifiers and times.
 
 use std::fmt;
 use std::sync::Arc;
@@ -6,36 +6,36 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Time on the instance's steady clock, since its start.
+/// Time on the instance's monotonic clock, since the instance's start.
 pub type CoreTime = Duration;
 /// Time of day in milliseconds since 1970.
 pub type WallMillis = u64;
-/// Id of a job, chosen by its caller.
+/// Id of a job, chosen by the caller.
 pub type JobId = u64;
-/// Number of a task's run; it rises with each start.
+/// Number of a run of a task. Each start gets a higher number.
 pub type RunId = u64;
-/// Number that a worker compares: it does nothing for a lower one than it has seen.
+/// Fencing token. A worker refuses calls with a lower token than the highest it has seen.
 pub type FenceToken = u64;
-/// Id of one life of a worker.
+/// Id of a worker. A worker that restarts may keep its id.
 pub type WorkerId = Arc<str>;
-/// Number of a connection, as the instance counts its own over all of its lives.
+/// Number of an instance's connection to a worker, unique across restarts of the instance.
 pub type ConnectionId = u64;
-/// Number by which an answer finds its question.
+/// Number that matches an answer to its request.
 pub type Ticket = u64;
 
-/// A step of one time of a job.
+/// Identifies a step in one repetition of a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct StepKey {
     /// The job.
     pub job: JobId,
-    /// Which of the job's times, from 0.
+    /// Number of the repetition, from 0.
     pub time: u32,
-    /// Which of the job's steps, from 0.
+    /// Index of the step in the job, from 0.
     pub step: u16,
 }
 
 impl StepKey {
-    /// A task of the step.
+    /// Returns the key of a task of the step.
     pub fn task(self, index: u32) -> TaskKey {
         TaskKey { step: self, index }
     }
@@ -44,7 +44,7 @@
 impl std::str::FromStr for StepKey {
     type Err = ();
 
-    /// Reads what [`fmt::Display`] writes.
+    /// Parses the format that [`fmt::Display`] writes.
     fn from_str(text: &str) -> Result<Self, ()> {
         let mut parts = text.splitn(3, '.');
         let mut next = || parts.next().ok_or(());
@@ -62,12 +62,12 @@
     }
 }
 
-/// A task of a step.
+/// Identifies a task of a step.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct TaskKey {
     /// The step.
     pub step: StepKey,
-    /// Which of the step's tasks, from 0.
+    /// Index of the task in the step, from 0.
     pub index: u32,
 }
 
@@ -80,7 +80,7 @@
 impl std::str::FromStr for TaskKey {
     type Err = ();
 
-    /// Reads what [`fmt::Display`] writes.
+    /// Parses the format that [`fmt::Display`] writes.
     ///
     /// # Examples
     ///
--- a/crates/bankvalve_queue/src/job.rs
+++ b/crates/bankvalve_queue/src/job.rs
@@ -1,4 +1,4 @@
-//! Jobs as callers hand them in.
+//! Jobs as callers submit them.
 
 use std::fmt;
 
@@ -8,21 +8,21 @@
 use crate::ids::{JobId, WallMillis};
 use crate::queue_table::AdviceRule;
 
-/// Most steps of a job.
-const STEP_LIMIT: usize = 1_000;
-/// Most tasks of a step.
-const TASK_LIMIT: u32 = 10_000;
+/// Maximum number of steps of a job.
+const MAX_STEPS: usize = 1_000;
+/// Maximum number of tasks of a step.
+const MAX_STEP_TASKS: u32 = 10_000;
 
-/// Most tasks of a job: some 2 MB of a leader's memory. What no instance bears is refused by the one
-/// that the caller reached; accepted, it would end one leader after the other.
-const JOB_TASKS: u64 = 20_000;
-/// Bytes that the steps and texts of a job may take in the ledger: three quarters of a row, since the
-/// table keeps them in an encoding that takes a third more.
-const JOB_BYTES: usize = 48 * 1024;
-/// Longest guess of a task's time, in milliseconds: some months, far from where sums overflow.
-const ESTIMATE_MS: u64 = 100 * 86_400_000;
+/// Maximum number of tasks of a job; they take about 2 MB of a leader's memory. The instance that receives a
+/// larger job refuses it. If it were accepted, it would crash one leader after another.
+const MAX_JOB_TASKS: u64 = 20_000;
+/// Maximum size of a job's steps and texts in the ledger, in bytes: three quarters of a row, because the
+/// table stores them in an encoding that takes a third more.
+const MAX_JOB_BYTES: usize = 48 * 1024;
+/// Maximum estimate of a task's run time, in milliseconds: a few months, far too short for sums to overflow.
+const MAX_ESTIMATE_MS: u64 = 100 * 86_400_000;
 
-/// Room that a task takes or a worker has.
+/// Resources that a task requests or a worker has.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TaskSize {
     /// Thousandths of a core.
@@ -34,14 +34,14 @@
 }
 
 impl TaskSize {
-    /// Tells whether this fits into some room.
-    pub fn fits(&self, room: &TaskSize) -> bool {
-        self.millicores <= room.millicores
-            && self.memory_mib <= room.memory_mib
-            && self.accelerators <= room.accelerators
+    /// Returns whether these resources fit into a capacity.
+    pub fn fits(&self, capacity: &TaskSize) -> bool {
+        self.millicores <= capacity.millicores
+            && self.memory_mib <= capacity.memory_mib
+            && self.accelerators <= capacity.accelerators
     }
 
-    /// The sum.
+    /// Returns the sum of both.
     #[must_use]
     pub fn plus(&self, other: &TaskSize) -> TaskSize {
         TaskSize {
@@ -51,7 +51,7 @@
         }
     }
 
-    /// What is left after taking another away, not below zero.
+    /// Returns what is left after subtracting another size, but no less than zero.
     #[must_use]
     pub fn minus(&self, other: &TaskSize) -> TaskSize {
         TaskSize {
@@ -61,7 +61,7 @@
         }
     }
 
-    /// The size so many times.
+    /// Returns the size multiplied by a count.
     #[must_use]
     pub fn times(&self, count: u64) -> TaskSize {
         TaskSize {
@@ -72,45 +72,45 @@
     }
 }
 
-/// One step of a job: tasks that are alike.
+/// A step of a job: tasks with the same properties.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct StepSpec {
     /// Number of tasks.
     pub count: u32,
-    /// Room that each task takes.
+    /// Resources that each task requests.
     pub size: TaskSize,
-    /// Rough guess of a task's time in milliseconds.
+    /// Rough estimate of a task's run time, in milliseconds.
     pub estimate_ms: u64,
-    /// Earlier steps that must be done first.
+    /// Indices of earlier steps that must be done first.
     pub after: Vec<u16>,
-    /// The tasks work only together.
+    /// Whether the tasks can only run together.
     pub gang: bool,
-    /// A gang that is faster on one rack.
+    /// Whether the step is a gang that is faster on one rack.
     pub same_rack: bool,
-    /// Label that the worker must have.
+    /// Label that a worker must have; `None` for no requirement.
     pub required_label: Option<String>,
-    /// Rack where the data lies.
+    /// Rack that holds the data; `None` if it is not known.
     pub data_rack: Option<String>,
-    /// Most tasks of the step on one worker; 0 sets no limit.
+    /// Maximum number of tasks of the step on one worker; 0 for no limit.
     pub per_worker_limit: u32,
-    /// Copies may run side by side.
+    /// Whether copies of a task may run at the same time.
     pub speculative: bool,
-    /// The tasks run until the job is cancelled.
+    /// Whether the tasks are long-running: they run until the job is cancelled.
     pub lasting: bool,
-    /// The tasks save their progress.
+    /// Whether the tasks save their progress.
     pub checkpoints: bool,
-    /// What the tasks run; alike ones behave alike.
+    /// Image that the tasks run. Tasks with the same image behave alike.
     pub image: String,
-    /// Tail of the answers' times that lasting tasks are to keep, in milliseconds; 0 for none.
+    /// Target for the tail latency of long-running tasks, in milliseconds; 0 for none.
     pub latency_target_ms: u64,
-    /// The tasks use only what others leave; their processors take no room.
+    /// Whether the tasks use only CPU that others leave. Their CPU takes none of the worker's capacity.
     pub fills: bool,
-    /// How many lasting tasks may be held away at once; none sets no limit.
+    /// Maximum number of long-running tasks that may be kept down at once; `None` for no limit.
     pub away_limit: Option<u32>,
 }
 
 impl StepSpec {
-    /// Room that a task takes on a worker.
+    /// Returns the resources that a task takes of a worker's capacity.
     pub fn resources(&self) -> TaskSize {
         if self.fills {
             TaskSize {
@@ -126,7 +126,7 @@
 /// A job as its caller described it.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct JobSpec {
-    /// Id that the caller chose.
+    /// Id, chosen by the caller.
     pub id: JobId,
     /// Name of the queue.
     pub queue: String,
@@ -134,40 +134,42 @@
     pub payload: String,
     /// The steps.
     pub steps: Vec<StepSpec>,
-    /// How often the steps run; 0 means once and at once.
+    /// Number of repetitions of the steps; 0 means once, immediately.
     pub repeats: u32,
-    /// When the first time falls due.
+    /// When the first repetition is due.
     pub first_due_ms: WallMillis,
-    /// Milliseconds between two times.
+    /// Time between two repetitions, in milliseconds.
     pub period_ms: u64,
-    /// Customer that handed it in; none on a public queue, and in ledgers of before there were any.
+    /// Customer that submitted the job. `None` on a public queue, and in ledgers from before there were
+    /// customers.
     #[serde(default)]
     pub customer: Option<CustomerName>,
 }
 
-/// What the queue promised when the job was accepted; it holds if the queue goes away.
+/// Terms of the queue when the job was accepted. They stay valid if the queue is removed.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct JobTerms {
     /// Service whose workers run the tasks.
     pub service: String,
-    /// 0 comes first.
+    /// Priority of the queue; 0 is the highest.
     pub priority: u32,
-    /// Failed runs after which a task has failed for good.
+    /// Number of failed runs after which a task has failed permanently.
     pub attempts: u32,
-    /// Factor on the job's longest chain that makes up its objective.
+    /// Factor of the job's objective: the objective is the estimated time of the job's longest chain of
+    /// steps, multiplied by this, plus `target_ms`.
     pub stretch: f64,
-    /// Time added to that, in milliseconds.
+    /// Fixed part of the job's objective, in milliseconds.
     pub target_ms: u64,
-    /// Policy that says which workers may run a step.
+    /// Timing of the policy service that decides which workers may run a step; `None` if no advice is needed.
     pub advice: Option<AdviceRule>,
 }
 
-/// A field of a job that is not as it must be.
+/// An invalid field of a job.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct JobProblem {
-    /// Index of the step, if the field is one of a step.
+    /// Index of the step, if the field belongs to a step.
     pub step: Option<usize>,
-    /// The field, by the product's name.
+    /// Name of the field. The platform's interface may spell it differently.
     pub field: &'static str,
     /// What was expected of it.
     pub expected: &'static str,
@@ -183,12 +185,12 @@
 }
 
 impl JobSpec {
-    /// Number of times that the steps run.
+    /// Returns the number of repetitions, at least one.
     pub fn times(&self) -> u32 {
         self.repeats.max(1)
     }
 
-    /// When a time falls due; 0 for a job without times.
+    /// Returns when a repetition is due, or 0 if the job does not repeat.
     pub fn due_ms(&self, time: u32) -> WallMillis {
         if self.repeats == 0 {
             return 0;
@@ -197,11 +199,11 @@
             .saturating_add(u64::from(time).saturating_mul(self.period_ms))
     }
 
-    /// Checks what can be checked without knowing the workers.
+    /// Checks everything that can be checked without knowing the workers.
     ///
     /// # Errors
     ///
-    /// Returns the first field that is not as it must be.
+    /// Returns the first invalid field.
     pub fn check(&self) -> Result<(), JobProblem> {
         let problem = |step, field, expected| {
             Err(JobProblem {
@@ -210,17 +212,17 @@
                 expected,
             })
         };
-        if self.steps.is_empty() || self.steps.len() > STEP_LIMIT {
+        if self.steps.is_empty() || self.steps.len() > MAX_STEPS {
             return problem(None, "steps", "expected 1 to 1000 steps");
         }
         for (index, step) in self.steps.iter().enumerate() {
-            if step.count == 0 || step.count > TASK_LIMIT {
+            if step.count == 0 || step.count > MAX_STEP_TASKS {
                 return problem(Some(index), "count", "expected 1 to 10000 tasks");
             }
             if step.after.iter().any(|after| usize::from(*after) >= index) {
                 return problem(Some(index), "after", "expected numbers of earlier steps");
             }
-            if step.estimate_ms > ESTIMATE_MS {
+            if step.estimate_ms > MAX_ESTIMATE_MS {
                 return problem(
                     Some(index),
                     "estimate",
@@ -229,30 +231,31 @@
             }
         }
         let tasks: u64 = self.steps.iter().map(|step| u64::from(step.count)).sum();
-        if tasks > JOB_TASKS {
+        if tasks > MAX_JOB_TASKS {
             return problem(None, "steps", "expected 20000 tasks in all at most");
         }
-        if self.ledger_bytes() > JOB_BYTES {
+        if self.ledger_bytes() > MAX_JOB_BYTES {
             return problem(None, "steps", "expected a job of 48 KiB at most");
         }
         Ok(())
     }
 
-    /// Bytes that it takes in the ledger, at most.
+    /// Returns an upper bound of the job's size in the ledger, in bytes.
     fn ledger_bytes(&self) -> usize {
-        /// Numbers and flags of a step, and what parts its texts.
-        const STEP: usize = 120;
-        /// A number of an earlier step.
-        const NUMBER: usize = 3;
+        /// Bytes of a step's numbers and flags, and of the separators of its texts.
+        const STEP_BYTES: usize = 120;
+        /// Bytes of the index of an earlier step.
+        const INDEX_BYTES: usize = 3;
         let text = |text: &Option<String>| text.as_ref().map_or(0, String::len);
         let steps = self.steps.iter().map(|step| {
             let texts = text(&step.required_label) + text(&step.data_rack) + step.image.len();
-            STEP + texts + NUMBER * step.after.len()
+            STEP_BYTES + texts + INDEX_BYTES * step.after.len()
         });
         self.payload.len() + self.queue.len() + steps.sum::<usize>()
     }
 
-    /// Length of the longest chain of estimated times from a step to the end, for each step.
+    /// Returns, for each step, the estimated time of the longest chain of steps from it to the end of the
+    /// job, in milliseconds.
     ///
     /// # Examples
     ///
--- a/crates/bankvalve_queue/src/policy.rs
+++ b/crates/bankvalve_queue/src/policy.rs
@@ -1,38 +1,39 @@
-//! The policies that decide, so that each can be switched off to measure what it is worth.
+//! The scheduler's policies. Each can be switched off to measure its benefit.
 
-/// A policy that can be switched off; in service all are on.
+/// A policy that can be switched off. In production, all are on.
 ///
-/// Unlike a [`SiteGuard`](crate::SiteGuard), no rule rests on one: without it the site serves
-/// worse, or costs more.
+/// Unlike with a [`SiteGuard`](crate::SiteGuard), none of the platform's rules depends on a policy. Without
+/// it, the site only serves its callers worse or costs more.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PolicySwitch {
-    /// A write without an answer is read back; without it, copies are sent by time alone.
+    /// An unanswered write is checked by reading the ledger. Without this policy, copies are sent by time
+    /// alone.
     ReadBack,
-    /// Orders without an answer are repeated by the time that answers take.
+    /// The delay before an unanswered order is repeated depends on how long answers take.
     QuickRepeat,
-    /// Looks at workers with urgent runs wait less.
+    /// Polls of workers with urgent runs wait for a shorter time.
     ShortLooks,
-    /// Urgent runs that stand still or are slow are started elsewhere.
+    /// Urgent runs that make no progress or are slow are restarted elsewhere.
     OverdueRuns,
-    /// Urgent work takes room from runs that save their progress.
+    /// Steps that find no capacity preempt runs of lower priority that save their progress.
     Preemption,
-    /// Urgent work prefers workers that were measured as fast.
+    /// Urgent steps prefer fast workers.
     FastWorkers,
-    /// Room is kept for a step while its permits are renewed.
+    /// Capacity is reserved for a step while its permits are renewed.
     PermitRoom,
-    /// Workers that fail what they start rest.
+    /// Workers that fail what they start get no new runs during a back-off.
     FailureRest,
-    /// A weak leader lets a much stronger peer lead.
+    /// A leader with little CPU hands over leadership to a peer with much more.
     StrongLeader,
-    /// A leader that the table does not answer lets a peer lead that it answers.
+    /// A leader that the table does not answer hands over leadership to a peer that it answers.
     TableYield,
-    /// Long questions to the policy service leave some instances free for short ones.
+    /// Long advice requests leave some instances free for short ones.
     ShortQuestions,
-    /// Waiting steps are ordered by the latest start that is still in time.
+    /// Waiting steps are ordered by the latest start that still meets their job's objective.
     LatestStart,
-    /// Jobs that are not kept are refused while the table is away.
+    /// Uncommitted jobs are refused while the table is unavailable.
     Withdrawal,
-    /// What a customer sends beyond its share comes after all else.
+    /// Jobs that a customer submits beyond its share come after all others.
     CustomerShares,
     /// Gangs of queues that allow few failed runs prefer workers whose last run did not fail.
     ProvedWorkers,
--- a/crates/bankvalve_queue/src/queue_table.rs
+++ b/crates/bankvalve_queue/src/queue_table.rs
@@ -1,4 +1,4 @@
-//! The configuration in force: which queue a request means, and its rules.
+//! The configuration in force: which queue a request is for, and the rules of the queues and customers.
 
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
@@ -8,19 +8,19 @@
 use crate::customer::{CustomerName, CustomerRule, KeyDigest};
 use crate::job::JobTerms;
 
-/// Times of a policy that says which workers may run a step.
+/// Timing of the policy service that decides which workers may run a step.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct AdviceRule {
-    /// Time that an answer takes, in milliseconds.
+    /// Fixed part of the time that an answer takes, in milliseconds.
     pub decide_ms: f64,
-    /// Time that each worker asked about adds, in milliseconds.
+    /// Additional time for each worker in the request, in milliseconds.
     pub each_ms: f64,
-    /// Time for which a permit holds, in milliseconds.
+    /// Time for which a permit is valid, in milliseconds.
     pub valid_ms: u64,
 }
 
 impl AdviceRule {
-    /// Time that an answer about so many workers takes.
+    /// Returns the time that an answer about a number of workers takes.
     ///
     /// # Examples
     ///
@@ -41,31 +41,33 @@
 pub struct QueueRule {
     /// Name.
     pub name: String,
-    /// Host that requests name.
+    /// Host in the requests for this queue.
     pub host: String,
-    /// Beginning of their path.
+    /// Prefix of the path in these requests.
     pub prefix: String,
-    /// Whether requests carry a key of a customer; else anybody may ask.
+    /// Whether requests need a customer's key. Without it, the queue is public.
     pub keyed: bool,
-    /// What the queue promises its jobs.
+    /// Terms for the queue's jobs.
     pub terms: JobTerms,
 }
 
-/// The whole configuration of one version.
+/// The complete configuration of one version.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct QueueTable {
-    /// Version; a greater one replaces a smaller one.
+    /// Version; a higher one replaces a lower one.
     pub version: u64,
     queues: BTreeMap<String, QueueRule>,
     guarded: BTreeMap<String, bool>,
     by_host: BTreeMap<String, Vec<String>>,
     customers: BTreeMap<CustomerName, CustomerRule>,
-    // The hasher is keyed anew by each process, so that the time of a look-up tells nothing of a key.
+    // Each process uses its own random hash key, so the time of a lookup reveals nothing about a customer's
+    // key.
     by_key: HashMap<KeyDigest, CustomerName>,
 }
 
 impl QueueTable {
-    /// Makes a table; `guarded` tells for each service whether its workers refuse what does not fit.
+    /// Creates a configuration without customers. `guarded` holds for each service whether its workers refuse
+    /// tasks that do not fit.
     pub fn new(version: u64, rules: Vec<QueueRule>, guarded: BTreeMap<String, bool>) -> Self {
         let mut by_host: BTreeMap<String, Vec<String>> = BTreeMap::new();
         let mut queues = BTreeMap::new();
@@ -85,7 +87,7 @@
         }
     }
 
-    /// The table with its customers.
+    /// Adds customers to the configuration.
     #[must_use]
     pub fn with_customers(mut self, customers: Vec<CustomerRule>) -> Self {
         for rule in customers {
@@ -97,17 +99,17 @@
         self
     }
 
-    /// The customer of a name.
+    /// Returns the customer with a name.
     pub fn customer(&self, name: &str) -> Option<&CustomerRule> {
         self.customers.get(name)
     }
 
-    /// All customers.
+    /// Iterates over all customers.
     pub fn customers(&self) -> impl Iterator<Item = &CustomerRule> {
         self.customers.values()
     }
 
-    /// The customer that a key belongs to.
+    /// Returns the name of the customer that a key belongs to.
     ///
     /// # Examples
     ///
@@ -124,17 +126,17 @@
         self.by_key.get(key)
     }
 
-    /// The queue of a name.
+    /// Returns the queue with a name.
     pub fn queue(&self, name: &str) -> Option<&QueueRule> {
         self.queues.get(name)
     }
 
-    /// All queues.
+    /// Iterates over all queues.
     pub fn queues(&self) -> impl Iterator<Item = &QueueRule> {
         self.queues.values()
     }
 
-    /// Finds the queue with the longest prefix that begins the path.
+    /// Finds the queue on a host with the longest prefix of a path.
     ///
     /// # Examples
     ///
