--- a/crates/bankvalve_queue/src/ledger/crash_count.rs
+++ b/crates/bankvalve_queue/src/ledger/crash_count.rs
@@ -60,7 +60,8 @@
     /// Early crash: the worker ended right after the run was ordered, but the end is no proof. Other runs
     /// there were new, for example, or other workers were lost as well.
     Young,
-    /// Strong evidence: the worker ended soon after the run was ordered, and no other run there was new.
+    /// Strong evidence: the worker ended soon after the run was ordered, or at the same age of the run as an
+    /// earlier one, and no other run there was new.
     Proof,
 }
 
