--- a/crates/bankvalve_queue/src/ledger/mod.rs
+++ b/crates/bankvalve_queue/src/ledger/mod.rs
@@ -1,4 +1,4 @@
-//! What is kept: events, batches of them, and the state that they add up to.
+//! The ledger: its events, batches of events, and the state of all jobs that results from them.
 
 mod crash_count;
 mod event;
@@ -7,5 +7,5 @@
 
 pub use crash_count::{CrashCount, CrashEnd, CrashEvidence, CrashWeight};
 pub use event::{EndKind, LedgerBatch, LedgerEvent};
-pub use job_book::{JobBook, JobOutcome, JobRecord, TimeRecord};
+pub use job_book::{JobBook, JobOutcome, JobRecord, RepetitionRecord};
 pub use step_record::{StepRecord, TaskPhase, TaskRecord};
