--- a/crates/bankvalve_queue/src/core/advice.rs
+++ b/crates/bankvalve_queue/src/core/advice.rs
@@ -74,7 +74,7 @@
 #[derive(Debug, Default)]
 pub(super) struct StepAdvice {
     /// Workers that may run the step, each with its last permit.
-    good: BTreeMap<WorkerId, Permit>,
+    allowed: BTreeMap<WorkerId, Permit>,
     /// Workers about which the service has answered.
     answered: BTreeSet<WorkerId>,
     in_flight: Vec<InFlightAdvice>,
@@ -83,29 +83,29 @@
 
 impl StepAdvice {
     pub(super) fn is_allowed(&self, worker: &WorkerId) -> bool {
-        self.good.contains_key(worker)
+        self.allowed.contains_key(worker)
     }
 
     /// Returns the workers that may run the step.
-    pub(super) fn good(&self) -> impl Iterator<Item = &WorkerId> {
-        self.good.keys()
+    pub(super) fn allowed_workers(&self) -> impl Iterator<Item = &WorkerId> {
+        self.allowed.keys()
     }
 
     /// Returns the workers whose permits are valid beyond a time.
     pub(super) fn permitted(&self, until: CoreTime) -> impl Iterator<Item = &WorkerId> {
-        let permits = self.good.iter();
+        let permits = self.allowed.iter();
         permits
             .filter(move |(_, permit)| permit.until > until)
             .map(|(id, _)| id)
     }
 
-    pub(super) fn is_known(&self, worker: &WorkerId) -> bool {
+    pub(super) fn has_answer_for(&self, worker: &WorkerId) -> bool {
         self.answered.contains(worker)
     }
 
     /// Returns the permit for a worker if it is valid beyond a time.
     pub(super) fn permit(&self, worker: &WorkerId, until: CoreTime) -> Option<&str> {
-        let permit = self.good.get(worker)?;
+        let permit = self.allowed.get(worker)?;
         (permit.until > until).then_some(permit.text.as_str())
     }
 
@@ -119,13 +119,13 @@
     }
 
     /// Returns whether a request about a worker is in flight.
-    pub(super) fn is_asked(&self, worker: &WorkerId) -> bool {
+    pub(super) fn is_in_flight_for(&self, worker: &WorkerId) -> bool {
         let mut in_flight = self.in_flight.iter();
         in_flight.any(|request| request.asked.contains(worker))
     }
 
     /// Returns whether a request is in flight about workers of which nothing is known.
-    pub(super) fn explores(&self) -> bool {
+    pub(super) fn asks_about_unknown(&self) -> bool {
         let mut asked = self.in_flight.iter().flat_map(|request| &request.asked);
         asked.any(|worker| !self.answered.contains(worker))
     }
@@ -186,7 +186,7 @@
         let duration = rule.time_for(workers.len());
         let adviser = self.choose_adviser(duration);
         let ticket = self.take_ticket();
-        let own = self.settings.address;
+        let local = self.settings.address;
         let Some(lead) = self.lead.as_deref_mut() else {
             return now;
         };
@@ -218,7 +218,7 @@
             );
             self.log("advice", "ask", step.to_string(), detail);
         }
-        if adviser == own {
+        if adviser == local {
             self.actions.push(CoreAction::Advice { ticket, ask });
         } else {
             self.send_via_hub(adviser, PeerMessage::Advise { ticket, ask });
@@ -229,14 +229,14 @@
     /// Returns the instance that is expected to answer first. Long requests leave a third of the instances
     /// free.
     fn choose_adviser(&self, duration: Duration) -> PeerAddress {
-        let own = self.settings.address;
+        let local = self.settings.address;
         let mut advisers: Vec<PeerAddress> = self
             .live_peers()
             .filter(|(_, peer)| !peer.heartbeat.stopping)
             .map(|(address, _)| address)
             .collect();
         advisers.sort_unstable();
-        advisers.push(own);
+        advisers.push(local);
         let short_only = advisers.len().div_ceil(3);
         let keeps_some_free = self.uses(PolicySwitch::ShortQuestions);
         if keeps_some_free && duration > LONG_REQUEST && advisers.len() > short_only {
@@ -248,12 +248,12 @@
             let until = lead.and_then(|lead| lead.adviser_busy.get(address).copied());
             until.unwrap_or(now).max(now)
         };
-        let is_remote = |address: &PeerAddress| u8::from(*address != own);
+        let is_remote = |address: &PeerAddress| u8::from(*address != local);
         advisers
             .iter()
             .copied()
             .min_by_key(|address| (busy(address), is_remote(address)))
-            .unwrap_or(own)
+            .unwrap_or(local)
     }
 
     /// Returns whether the backlog of some instance is short enough for another request.
@@ -267,10 +267,10 @@
 
     /// Sends an advice request of the leader to the policy service.
     pub(super) fn proxy_advice(&mut self, from: PeerAddress, ticket: Ticket, ask: AdviceRequest) {
-        let own_ticket = self.take_ticket();
-        self.proxied_advice.insert(own_ticket, (from, ticket));
+        let local_ticket = self.take_ticket();
+        self.proxied_advice.insert(local_ticket, (from, ticket));
         self.actions.push(CoreAction::Advice {
-            ticket: own_ticket,
+            ticket: local_ticket,
             ask,
         });
     }
@@ -280,11 +280,11 @@
             Some((peer, ticket)) => {
                 self.send_via_hub(peer, PeerMessage::Advised { ticket, answer });
             }
-            None => self.end_advice(ticket, answer),
+            None => self.finish_advice(ticket, answer),
         }
     }
 
-    pub(super) fn end_advice(&mut self, ticket: Ticket, answer: AdviceAnswer) {
+    pub(super) fn finish_advice(&mut self, ticket: Ticket, answer: AdviceAnswer) {
         let now = self.now;
         let Some(lead) = self.lead.as_deref_mut() else {
             return;
@@ -317,7 +317,7 @@
                 advice.answered.extend(request.asked);
                 for (worker, text) in permits {
                     let until = now + valid;
-                    advice.good.insert(worker, Permit { text, until });
+                    advice.allowed.insert(worker, Permit { text, until });
                 }
             }
             AdviceAnswer::Busy => {
@@ -346,7 +346,7 @@
         if let Some(permit) = lead
             .advice
             .get_mut(&step)
-            .and_then(|advice| advice.good.get_mut(worker))
+            .and_then(|advice| advice.allowed.get_mut(worker))
         {
             permit.until = CoreTime::ZERO;
         }
@@ -358,7 +358,7 @@
             return;
         };
         let advices = lead.advice.values_mut();
-        for permit in advices.filter_map(|advice| advice.good.get_mut(worker)) {
+        for permit in advices.filter_map(|advice| advice.allowed.get_mut(worker)) {
             permit.until = CoreTime::ZERO;
         }
     }
--- a/crates/bankvalve_queue/src/core/callers.rs
+++ b/crates/bankvalve_queue/src/core/callers.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use super::commit::{Effect, Origin};
-use super::lead_state::{LeadState, UnknownJobRequest};
+use super::lead_state::{LeadState, UnconfirmedRequest};
 use super::readiness::job_text;
 use super::EntryCore;
 use crate::caller::{CallerAnswer, CallerRequest, JobState, RefusalReason, ResolvedRequest};
@@ -224,10 +224,10 @@
     /// Sends unanswered requests again, and ends those whose callers do not wait any longer.
     pub(super) fn run_open_requests(&mut self) {
         let now = self.now;
-        let own_address = self.settings.address;
+        let local = self.settings.address;
         let resend = self.enforces(SiteGuard::ResentAsk);
         let pause = RESEND_AFTER + self.round_trip_to_leader();
-        let unanswered = |(to, at)| to != own_address && now.saturating_sub(at) > pause;
+        let unanswered = |(to, at)| to != local && now.saturating_sub(at) > pause;
         let mut to_resend = Vec::new();
         let mut timed_out = Vec::new();
         for (ticket, open_request) in &self.open_requests {
@@ -256,7 +256,7 @@
         let Some(open_request) = self.open_requests.remove(&ticket) else {
             return;
         };
-        self.log_given_up(&open_request);
+        self.log_timed_out(&open_request);
         if open_request.copies > 0 || open_request.sent.is_some() {
             self.counters.count("refusals", "unknown");
             let answer = CallerAnswer::Unknown;
@@ -336,14 +336,14 @@
 
     /// Returns whether this instance serves a request itself, as the leader.
     fn is_served_here(&self, ticket: Ticket) -> bool {
-        let own_address = self.settings.address;
+        let local = self.settings.address;
         let open_request = self.open_requests.get(&ticket);
-        open_request.is_some_and(|request| request.sent.is_some_and(|(to, _)| to == own_address))
+        open_request.is_some_and(|request| request.sent.is_some_and(|(to, _)| to == local))
     }
 
     /// Answers a request that waited until it was confirmed that this instance led when the request
     /// arrived. A job that was unknown then may have been submitted since.
-    pub(super) fn serve_confirmed(&mut self, waiting: UnknownJobRequest) {
+    pub(super) fn serve_confirmed(&mut self, waiting: UnconfirmedRequest) {
         let known = match &waiting.request {
             CallerRequest::Status { job } | CallerRequest::Cancel { job } => {
                 self.book.job(*job).is_some()
@@ -428,7 +428,7 @@
         };
         let waits = |job: &&crate::ledger::JobRecord| {
             let open = job.outcome == JobOutcome::Open && job.spec.queue == queue;
-            open && !lead.begun.contains(&job.spec.id)
+            open && !lead.started_jobs.contains(&job.spec.id)
         };
         self.book.jobs().filter(waits).count() as u64
     }
@@ -502,12 +502,13 @@
         let at = self.now;
         let caller = caller.clone();
         if let Some(lead) = self.lead.as_deref_mut() {
-            lead.confirm_waiting.push(UnknownJobRequest {
-                at,
-                origin,
-                caller,
-                request,
-            });
+            lead.requests_awaiting_confirmation
+                .push(UnconfirmedRequest {
+                    at,
+                    origin,
+                    caller,
+                    request,
+                });
         }
     }
 }
--- a/crates/bankvalve_queue/src/core/capacity_reclaim.rs
+++ b/crates/bankvalve_queue/src/core/capacity_reclaim.rs
@@ -209,7 +209,7 @@
         let too_many_claims =
             others.count() >= MIN_CLAIMS && claimed * 100 >= total * MAX_RESERVED_PERCENT;
         let paused = |at: &CoreTime| now < *at;
-        if !step.urgent && (too_many_claims || lead.plan_pauses.get(&key).is_some_and(paused)) {
+        if !step.urgent && (too_many_claims || lead.next_plan_at.get(&key).is_some_and(paused)) {
             return;
         }
         let wanted = if step.spec.gang {
@@ -220,7 +220,7 @@
         let plans = self.plan_capacity(step, wanted, |_| true);
         if plans.is_empty() || (step.spec.gang && plans.len() < missing) {
             if let Some(lead) = self.lead.as_deref_mut() {
-                lead.plan_pauses.insert(key, now + PLAN_RETRY_DELAY);
+                lead.next_plan_at.insert(key, now + PLAN_RETRY_DELAY);
             }
             return;
         }
@@ -391,7 +391,10 @@
     }
 
     fn may_preempt_for(&self, step: &StepToPlace, task: TaskKey, live: &LiveRun) -> bool {
-        let stops = self.lead.as_deref().and_then(|lead| lead.stops.get(&task));
+        let stops = self
+            .lead
+            .as_deref()
+            .and_then(|lead| lead.preemptions.get(&task));
         // Nothing can start in its place while the table is unavailable.
         let may_preempt = self.uses(PolicySwitch::Preemption) && !self.store_is_unavailable();
         may_preempt
@@ -434,9 +437,9 @@
         for plan in plans {
             for task in &plan.stops {
                 if let Some(lead) = self.lead.as_deref_mut() {
-                    *lead.stops.entry(*task).or_default() += 1;
+                    *lead.preemptions.entry(*task).or_default() += 1;
                 }
-                self.begin_stop_run(&plan.worker, *task);
+                self.stop_run(&plan.worker, *task);
             }
         }
     }
--- a/crates/bankvalve_queue/src/core/commit.rs
+++ b/crates/bankvalve_queue/src/core/commit.rs
@@ -396,7 +396,7 @@
             match effect {
                 Effect::None => {}
                 Effect::Answer(origin, answer) => self.answer(origin, answer),
-                Effect::Order(task, run) => self.begin_order(task, run),
+                Effect::Order(task, run) => self.order_start(task, run),
                 Effect::JobEnded(job) => self.log_job_end(job),
                 Effect::RenewLease(worker) => self.resume_lease_renewal(&worker),
                 Effect::AcknowledgeEnd(incarnation, number) => {
--- a/crates/bankvalve_queue/src/core/customer_limits.rs
+++ b/crates/bankvalve_queue/src/core/customer_limits.rs
@@ -107,7 +107,7 @@
     }
 
     /// Sums up what customers have running, for a placement.
-    pub(super) fn begin_usage(&mut self) {
+    pub(super) fn sum_usage_for_placement(&mut self) {
         let any = self.limits.has_limits();
         if let Some(lead) = self.lead.as_deref_mut() {
             lead.usage = match any {
@@ -123,7 +123,7 @@
     /// What is free below the limit is reserved for a gang that waits for it: otherwise smaller steps of
     /// its customer would use it up again and again. From the next placement on, only urgent steps come
     /// before such a gang, so that a late gang is not overtaken by steps that are still in time.
-    pub(super) fn leave_out_at_limit<Rank>(&mut self, ranked: &mut Vec<(Rank, StepKey)>) {
+    pub(super) fn remove_steps_at_limit<Rank>(&mut self, ranked: &mut Vec<(Rank, StepKey)>) {
         if !self.limits.has_limits() || !self.enforces(SiteGuard::CustomerLimit) {
             return;
         }
--- a/crates/bankvalve_queue/src/core/customer_shares.rs
+++ b/crates/bankvalve_queue/src/core/customer_shares.rs
@@ -50,7 +50,7 @@
 
 /// Scheduled start of a job beyond its customer's share: from then on it ranks like one within it.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct JobTurn {
+pub(super) struct ScheduledStart {
     pub(super) at: CoreTime,
     /// Time from its submission to its scheduled start.
     pub(super) wait: Duration,
@@ -60,7 +60,7 @@
 #[derive(Clone, Debug)]
 struct BeyondJob {
     customer: CustomerName,
-    turn: JobTurn,
+    scheduled_start: ScheduledStart,
 }
 
 /// Number of jobs of one customer under this leader.
@@ -96,8 +96,8 @@
 
 impl CustomerShares {
     /// Returns the scheduled start of a job that was beyond its customer's share, or `None` for any other.
-    pub(super) fn turn_of(&self, job: JobId) -> Option<JobTurn> {
-        self.beyond.get(&job).map(|beyond| beyond.turn)
+    pub(super) fn scheduled_start(&self, job: JobId) -> Option<ScheduledStart> {
+        self.beyond.get(&job).map(|beyond| beyond.scheduled_start)
     }
 
     /// Removes a job that has ended, and returns its token if it ended before its scheduled start.
@@ -106,7 +106,7 @@
             return;
         };
         let bucket = self.buckets.get_mut(&beyond.customer);
-        if let Some(bucket) = bucket.filter(|_| beyond.turn.at > now) {
+        if let Some(bucket) = bucket.filter(|_| beyond.scheduled_start.at > now) {
             bucket.tokens += 1.0;
         }
     }
@@ -164,7 +164,7 @@
         let wait = Duration::from_secs_f64((-bucket.tokens / weight).clamp(0.0, MAX_START_DELAY_S));
         let beyond = BeyondJob {
             customer: customer.clone(),
-            turn: JobTurn {
+            scheduled_start: ScheduledStart {
                 at: now + wait,
                 wait,
             },
--- a/crates/bankvalve_queue/src/core/denials.rs
+++ b/crates/bankvalve_queue/src/core/denials.rs
@@ -77,7 +77,7 @@
     }
 
     /// Refuses the callers for which the table has not answered in time.
-    pub(super) fn end_old_lookups(&mut self) {
+    pub(super) fn expire_lookups(&mut self) {
         let now = self.now;
         if self.tables.lookups.iter().all(|lookup| now < lookup.until) {
             return;
--- a/crates/bankvalve_queue/src/core/entry_core.rs
+++ b/crates/bankvalve_queue/src/core/entry_core.rs
@@ -486,10 +486,10 @@
         self.run_heartbeats();
         self.run_open_requests();
         self.run_follower_reads();
-        self.run_following();
+        self.run_follower();
         self.expire_proxied_calls();
         self.run_leader_row();
-        self.watch_leader();
+        self.log_leader_gap();
         self.log_readiness();
     }
 
--- a/crates/bankvalve_queue/src/core/follower.rs
+++ b/crates/bankvalve_queue/src/core/follower.rs
@@ -42,7 +42,7 @@
             PeerMessage::MarkWanted { round } => self.send_read_index(from, round),
             PeerMessage::Mark { round, sequence } => self.handle_read_index(from, round, sequence),
             PeerMessage::Advise { ticket, ask } => self.proxy_advice(from, ticket, ask),
-            PeerMessage::Advised { ticket, answer } => self.end_advice(ticket, answer),
+            PeerMessage::Advised { ticket, answer } => self.finish_advice(ticket, answer),
             PeerMessage::Relay { from, to, message } => self.handle_relayed(from, to, message),
             PeerMessage::Carry { ticket, call } => self.proxy_call(from, ticket, call),
             PeerMessage::Carried { ticket, answer } => self.handle_worker_answer(ticket, answer),
@@ -157,7 +157,7 @@
         self.applied = sequence;
     }
 
-    pub(super) fn run_following(&mut self) {
+    pub(super) fn run_follower(&mut self) {
         let due = self.catch_up_at.is_some_and(|at| self.now >= at);
         if self.lead.is_some() || !due || self.is_reading_ledger() {
             return;
@@ -187,22 +187,22 @@
             from: batch_key(from),
             limit: Some(self.ledger_page.rows),
         };
-        self.ledger_page.asked_at = self.now;
+        self.ledger_page.sent_at = self.now;
         let latency = self.store_timeouts.latency;
         let latency = latency.filter(|_| self.enforces(SiteGuard::LedgerProgress));
-        let time = self.ledger_page.time_to_wait(latency.unwrap_or_default());
+        let time = self.ledger_page.timeout(latency.unwrap_or_default());
         self.send_store_request_within(StorePurpose::ReadLedger { from }, request, time);
     }
 
     /// Handles a page of the ledger, and requests the next one unless the book is complete.
-    pub(super) fn end_ledger_page(&mut self, from: u64, asked_at: CoreTime, outcome: StoreOutcome) {
+    pub(super) fn end_ledger_page(&mut self, from: u64, sent_at: CoreTime, outcome: StoreOutcome) {
         let lead = self.lead.as_deref();
         if lead.is_some_and(|lead| lead.loaded) {
             return;
         }
         // A page requested before this leadership began may lack the previous leader's last batches.
-        let current = lead.is_none_or(|lead| asked_at >= lead.began_at);
-        self.record_page_time(asked_at, &outcome);
+        let current = lead.is_none_or(|lead| sent_at >= lead.began_at);
+        self.record_page_time(sent_at, &outcome);
         let StoreOutcome::Rows { rows, more, .. } = outcome else {
             let retry_at = self.now + READ_RETRY_DELAY;
             let in_contact = self.has_leader_contact();
@@ -243,20 +243,20 @@
 
     /// Records and logs how long a page of the ledger took, which is long for a large one on a slow
     /// link.
-    fn record_page_time(&mut self, asked_at: CoreTime, outcome: &StoreOutcome) {
-        let took = self.age(asked_at);
-        let latency = self.store_timeouts.usual();
+    fn record_page_time(&mut self, sent_at: CoreTime, outcome: &StoreOutcome) {
+        let took = self.age(sent_at);
+        let latency = self.store_timeouts.usual_latency();
         let rows = match outcome {
             StoreOutcome::Rows { rows, .. } => {
                 let full = rows.len() as u32 >= self.ledger_page.rows;
-                self.ledger_page.note_came(full, took, latency);
+                self.ledger_page.record_page(full, took, latency);
                 Some(rows.len())
             }
             // The table did nothing, so this says nothing about the link.
             StoreOutcome::Busy => None,
             _ => {
                 if self.enforces(SiteGuard::LedgerProgress) {
-                    self.ledger_page.note_missed(latency);
+                    self.ledger_page.record_miss(latency);
                 }
                 None
             }
--- a/crates/bankvalve_queue/src/core/former_leaders.rs
+++ b/crates/bankvalve_queue/src/core/former_leaders.rs
@@ -266,11 +266,15 @@
     fn mutual_contact_until(&self, old: &LeaderView) -> Option<CoreTime> {
         // On a large site, a leader requires this of preferred members only: the others hear from it too
         // rarely.
-        let is_required =
-            !self.has_many_members() || self.preferred.contains(&self.settings.address);
+        let is_required = !self.is_large_site() || self.preferred.contains(&self.settings.address);
         let peer = self.peers.get(&old.address).filter(|_| is_required)?;
         let is_recent = |at: &CoreTime| self.age(*at) < RELIED_CONTACT_AGE;
-        let mutual = peer.echo.is_mutual() && peer.echo.contact().as_ref().is_some_and(is_recent);
+        let mutual = peer.echo.is_mutual()
+            && peer
+                .echo
+                .last_acknowledged()
+                .as_ref()
+                .is_some_and(is_recent);
         let same_life = peer.heartbeat.life == old.life;
         peer.echo
             .last_contact()
@@ -303,7 +307,10 @@
             return false;
         };
         let since = lead.confirmed_at.saturating_sub(CONTACT_MEMORY);
-        let contacts = self.peers.values().filter_map(|peer| peer.echo.contact());
+        let contacts = self
+            .peers
+            .values()
+            .filter_map(|peer| peer.echo.last_acknowledged());
         let last = contacts.filter(|at| *at >= since).max();
         let too_long = |at: CoreTime| self.age(at) > CUT_OFF_AFTER;
         too_long(lead.confirmed_at) && last.is_some_and(too_long)
@@ -315,7 +322,9 @@
         let since = last_confirmed.saturating_sub(CONTACT_MEMORY);
         let mut contacts = self.peers.iter().filter_map(|(address, peer)| {
             let may_rely = !self.has_slow_heartbeat(*address) && !peer.heartbeat.stopping;
-            peer.echo.contact().filter(|at| may_rely && *at >= since)
+            peer.echo
+                .last_acknowledged()
+                .filter(|at| may_rely && *at >= since)
         });
         let Some(first) = contacts.next() else {
             return self.peers.is_empty();
--- a/crates/bankvalve_queue/src/core/handover.rs
+++ b/crates/bankvalve_queue/src/core/handover.rs
@@ -70,7 +70,7 @@
             .unanswered_since
             .map_or(Duration::ZERO, |at| now.saturating_sub(at.max(last_answer)));
         let refused = lead.unavailable_since.is_some();
-        let usual = self.store_timeouts.usual();
+        let usual = self.store_timeouts.usual_latency();
         let unresponsive = unanswered > TROUBLE_AFTER.max(usual * TROUBLE_LATENCY_FACTOR);
         if !refused && !unresponsive {
             lead.trouble_since = None;
--- a/crates/bankvalve_queue/src/core/hubs.rs
+++ b/crates/bankvalve_queue/src/core/hubs.rs
@@ -35,14 +35,14 @@
 
 impl EntryCore {
     /// Returns whether the site has so many members that messages go through hubs.
-    pub(super) fn has_many_members(&self) -> bool {
+    pub(super) fn is_large_site(&self) -> bool {
         self.peers.len() + 1 >= LARGE_SITE_MEMBERS
     }
 
     /// Returns whether this instance gets heartbeats from the leader at the slow rate and learns
     /// more about it from hubs: it is not a preferred member, and the site is large.
     pub(super) fn is_behind_hubs(&self) -> bool {
-        self.has_many_members() && !self.preferred.contains(&self.settings.address)
+        self.is_large_site() && !self.preferred.contains(&self.settings.address)
     }
 
     /// Sends a message to a member, through a hub if there is one between this instance and the member.
@@ -59,7 +59,7 @@
 
     /// Returns the hub between this instance and another, which stays the same while that hub is alive.
     fn hub_between(&self, to: PeerAddress) -> Option<PeerAddress> {
-        if !self.has_many_members() {
+        if !self.is_large_site() {
             return None;
         }
         let local = self.settings.address;
@@ -86,7 +86,7 @@
     /// Returns whether this instance is one of the hubs that report about the leader to another member.
     pub(super) fn is_hub_of(&self, member: PeerAddress) -> bool {
         let local = self.settings.address;
-        if !self.has_many_members()
+        if !self.is_large_site()
             || !self.preferred.contains(&local)
             || self.preferred.contains(&member)
         {
--- a/crates/bankvalve_queue/src/core/incarnation.rs
+++ b/crates/bankvalve_queue/src/core/incarnation.rs
@@ -103,7 +103,7 @@
         };
         for (task, live) in moved {
             if live.phase == (RunPhase::Stopping { confirmed: None }) {
-                lead.have_order_due(now, id, task);
+                lead.schedule_order(now, id, task);
             }
             state.add_run(task, live);
         }
--- a/crates/bankvalve_queue/src/core/lead_confirmation.rs
+++ b/crates/bankvalve_queue/src/core/lead_confirmation.rs
@@ -24,7 +24,7 @@
             None => CONFIRM_INTERVAL,
         };
         let due = now.saturating_sub(lead.confirmed_at) > interval && now >= lead.next_confirm;
-        let wanted = !lead.confirm_waiting.is_empty() || due;
+        let wanted = !lead.requests_awaiting_confirmation.is_empty() || due;
         if !wanted || lead.confirming.is_some() {
             return;
         }
@@ -63,11 +63,11 @@
         if !lead.loaded {
             return;
         }
-        let waiting = std::mem::take(&mut lead.confirm_waiting);
+        let waiting = std::mem::take(&mut lead.requests_awaiting_confirmation);
         let (ready, later): (Vec<_>, Vec<_>) = waiting
             .into_iter()
             .partition(|waiting| waiting.at <= read_sent_at);
-        lead.confirm_waiting = later;
+        lead.requests_awaiting_confirmation = later;
         for waiting in ready {
             self.serve_confirmed(waiting);
         }
--- a/crates/bankvalve_queue/src/core/lead_state.rs
+++ b/crates/bankvalve_queue/src/core/lead_state.rs
@@ -98,7 +98,7 @@
 
 /// A request about an unknown job, held until this instance has confirmed that it leads.
 #[derive(Debug)]
-pub(super) struct UnknownJobRequest {
+pub(super) struct UnconfirmedRequest {
     pub(super) at: CoreTime,
     pub(super) origin: Origin,
     pub(super) caller: CallerIdentity,
@@ -129,7 +129,7 @@
     pub(super) next_confirm: CoreTime,
     /// Since when the table has refused all writes, with none in flight.
     pub(super) unavailable_since: Option<CoreTime>,
-    pub(super) confirm_waiting: Vec<UnknownJobRequest>,
+    pub(super) requests_awaiting_confirmation: Vec<UnconfirmedRequest>,
     pub(super) sequence: u64,
     pub(super) pending: VecDeque<Proposal>,
     pub(super) flight: Option<InFlightCommit>,
@@ -142,21 +142,21 @@
     order_delay: Duration,
     pub(super) uncommitted: BTreeMap<JobId, u32>,
     /// Open jobs for which a worker has reported that a task started.
-    pub(super) begun: BTreeSet<JobId>,
+    pub(super) started_jobs: BTreeSet<JobId>,
     /// Suspects in trial runs, and the worker process that each was sent to.
     pub(super) trials: BTreeMap<TaskKey, Incarnation>,
     /// Workers lost recently, except those whose end counts against a task.
     pub(super) worker_losses: Vec<WorkerLoss>,
     /// How often each task was stopped because its run was overdue.
-    pub(super) moves: BTreeMap<TaskKey, u32>,
+    pub(super) overdue_stops: BTreeMap<TaskKey, u32>,
     /// Since when steps have waited for capacity for all of their tasks.
     pub(super) capacity_waits: BTreeMap<StepKey, CoreTime>,
     /// When to plan capacity again for steps for which no plan was found.
-    pub(super) plan_pauses: BTreeMap<StepKey, CoreTime>,
+    pub(super) next_plan_at: BTreeMap<StepKey, CoreTime>,
     /// Capacity claimed for steps that wait for it.
     pub(super) capacity_claims: BTreeMap<StepKey, CapacityClaim>,
     /// How often each task was stopped to reclaim its capacity.
-    pub(super) stops: BTreeMap<TaskKey, u32>,
+    pub(super) preemptions: BTreeMap<TaskKey, u32>,
     /// Jobs whose end is not committed yet.
     pub(super) ending: BTreeSet<JobId>,
     pub(super) worker_states: WorkerMap,
@@ -193,7 +193,7 @@
     pub(super) adviser_busy: BTreeMap<PeerAddress, CoreTime>,
     /// Whether free capacity, permits or waiting steps have changed since the last placement.
     pub(super) placement_due: bool,
-    pub(super) place_at: CoreTime,
+    pub(super) next_placement: CoreTime,
     /// When to scan all workers again for due polls and due orders.
     pub(super) next_poll_scan: CoreTime,
     pub(super) next_order_scan: CoreTime,
@@ -225,7 +225,7 @@
             confirming: None,
             next_confirm: now,
             unavailable_since: None,
-            confirm_waiting: Vec::new(),
+            requests_awaiting_confirmation: Vec::new(),
             sequence: 0,
             pending: VecDeque::new(),
             flight: None,
@@ -234,14 +234,14 @@
             last_commit: None,
             order_delay: Duration::ZERO,
             uncommitted: BTreeMap::new(),
-            begun: BTreeSet::new(),
+            started_jobs: BTreeSet::new(),
             trials: BTreeMap::new(),
             worker_losses: Vec::new(),
-            moves: BTreeMap::new(),
+            overdue_stops: BTreeMap::new(),
             capacity_waits: BTreeMap::new(),
-            plan_pauses: BTreeMap::new(),
+            next_plan_at: BTreeMap::new(),
             capacity_claims: BTreeMap::new(),
-            stops: BTreeMap::new(),
+            preemptions: BTreeMap::new(),
             ending: BTreeSet::new(),
             worker_states: WorkerMap::default(),
             wait_tracker: WaitTracker::default(),
@@ -265,7 +265,7 @@
             estimate_error: BTreeMap::new(),
             adviser_busy: BTreeMap::new(),
             placement_due: true,
-            place_at: now,
+            next_placement: now,
             next_poll_scan: now,
             next_order_scan: now,
             due_orders: BTreeSet::new(),
@@ -284,7 +284,7 @@
     }
 
     /// Schedules an order for a run.
-    pub(super) fn have_order_due(&mut self, at: CoreTime, worker: &WorkerId, task: TaskKey) {
+    pub(super) fn schedule_order(&mut self, at: CoreTime, worker: &WorkerId, task: TaskKey) {
         self.due_orders.insert((at, worker.clone(), task));
     }
 
@@ -439,7 +439,7 @@
             self.run_orders();
             self.refresh_dirty_jobs();
             self.prepare_restarts();
-            self.run_placing();
+            self.run_placement();
             self.run_advice();
         }
         self.run_commit();
@@ -494,13 +494,13 @@
             book.job(job)
                 .is_some_and(|job| job.outcome == JobOutcome::Open)
         };
-        lead.begun.retain(|job| open(*job));
+        lead.started_jobs.retain(|job| open(*job));
         lead.shares.retain(open);
-        lead.moves.retain(|task, _| open(task.step.job));
-        lead.stops.retain(|task, _| open(task.step.job));
+        lead.overdue_stops.retain(|task, _| open(task.step.job));
+        lead.preemptions.retain(|task, _| open(task.step.job));
         lead.capacity_waits.retain(|step, _| open(step.job));
         lead.capacity_claims.retain(|step, _| open(step.job));
-        lead.plan_pauses.retain(|step, _| open(step.job));
+        lead.next_plan_at.retain(|step, _| open(step.job));
         lead.advice.retain(|step, _| open(step.job));
         lead.waiting_counts.clear();
     }
--- a/crates/bankvalve_queue/src/core/leader_absence.rs
+++ b/crates/bankvalve_queue/src/core/leader_absence.rs
@@ -19,7 +19,7 @@
 
 impl EntryCore {
     /// Logs at most once a second that no leader works, and what this instance waits for.
-    pub(super) fn watch_leader(&mut self) {
+    pub(super) fn log_leader_gap(&mut self) {
         let loaded = self.lead.as_deref().map(|lead| lead.loaded);
         let works = loaded.unwrap_or_else(|| self.has_leader_contact());
         if works {
@@ -66,7 +66,7 @@
             "for {:?}, page of {} rows requested {:?} ago, timeout {:?}",
             self.age(lead.began_at),
             page.rows,
-            self.age(page.asked_at),
+            self.age(page.sent_at),
             page.time
         )
     }
--- a/crates/bankvalve_queue/src/core/lease_renewal.rs
+++ b/crates/bankvalve_queue/src/core/lease_renewal.rs
@@ -404,8 +404,10 @@
                 CallPurpose::Poll { acknowledges } => {
                     self.handle_poll_answer(&id, &open, acknowledges, &answer)
                 }
-                CallPurpose::Start { task, run } => self.end_start(&id, task, run, &answer),
-                CallPurpose::Stop { task, run } => self.end_stop(&id, task, run, &answer),
+                CallPurpose::Start { task, run } => {
+                    self.handle_start_answer(&id, task, run, &answer)
+                }
+                CallPurpose::Stop { task, run } => self.handle_stop_answer(&id, task, run, &answer),
             },
         }
     }
--- a/crates/bankvalve_queue/src/core/ledger_page.rs
+++ b/crates/bankvalve_queue/src/core/ledger_page.rs
@@ -28,7 +28,7 @@
 pub(super) struct LedgerPage {
     pub(super) rows: u32,
     pub(super) time: Duration,
-    pub(super) asked_at: CoreTime,
+    pub(super) sent_at: CoreTime,
 }
 
 impl Default for LedgerPage {
@@ -36,14 +36,14 @@
         Self {
             rows: INITIAL_ROWS,
             time: INITIAL_TIMEOUT,
-            asked_at: CoreTime::ZERO,
+            sent_at: CoreTime::ZERO,
         }
     }
 }
 
 impl LedgerPage {
     /// Returns the timeout of the next page, given the latency of a small answer.
-    pub(super) fn time_to_wait(&self, latency: Duration) -> Duration {
+    pub(super) fn timeout(&self, latency: Duration) -> Duration {
         self.time
             .max(latency * LATENCY_FACTOR)
             .min(MAX_PAGE_TIMEOUT)
@@ -51,7 +51,7 @@
 
     /// Adjusts size and timeout after a page that took `took`, given the latency of a small answer. A
     /// page that was not full, at the end of the ledger, does not show that a larger one is as fast.
-    pub(super) fn note_came(&mut self, full: bool, took: Duration, latency: Duration) {
+    pub(super) fn record_page(&mut self, full: bool, took: Duration, latency: Duration) {
         let transfer = took.saturating_sub(latency);
         if transfer > SLOW_PAGE {
             self.rows = (self.rows / 2).max(MIN_ROWS);
@@ -64,7 +64,7 @@
     }
 
     /// Doubles the timeout after a missing page, and reduces the size unless the table itself is slow.
-    pub(super) fn note_missed(&mut self, latency: Duration) {
+    pub(super) fn record_miss(&mut self, latency: Duration) {
         if latency < self.time / 2 {
             self.rows = (self.rows / 4).max(MIN_ROWS);
         }
--- a/crates/bankvalve_queue/src/core/member_ranks.rs
+++ b/crates/bankvalve_queue/src/core/member_ranks.rs
@@ -75,7 +75,7 @@
     /// Returns whether heartbeats with a peer come at the slow rate: this instance leads a large
     /// site, and the peer is not a preferred member.
     pub(super) fn has_slow_heartbeat(&self, peer: PeerAddress) -> bool {
-        self.lead.is_some() && self.has_many_members() && !self.preferred.contains(&peer)
+        self.lead.is_some() && self.is_large_site() && !self.preferred.contains(&peer)
     }
 
     /// Returns the members to send a heartbeat to now.
@@ -89,7 +89,7 @@
         let local_preferred = is_preferred(&self.settings.address);
         let leads = self.lead.is_some();
         let leader = self.leader.as_ref().map(|leader| leader.address);
-        let (large_site, lacks_contact) = (self.has_many_members(), self.lacks_leader_contact());
+        let (large_site, lacks_contact) = (self.is_large_site(), self.lacks_leader_contact());
         let is_due = |peer: &PeerAddress| {
             let preferred_pair = local_preferred && is_preferred(peer);
             let leader_pair =
--- a/crates/bankvalve_queue/src/core/orders.rs
+++ b/crates/bankvalve_queue/src/core/orders.rs
@@ -36,7 +36,7 @@
 
 impl EntryCore {
     /// Sends the order for a run whose start has been committed.
-    pub(super) fn begin_order(&mut self, task: TaskKey, run: u64) {
+    pub(super) fn order_start(&mut self, task: TaskKey, run: u64) {
         let now = self.now;
         let Some((worker, open)) = self.placed_on(task, run) else {
             return;
@@ -171,7 +171,7 @@
         };
         if entry_age.is_none_or(|age| age >= MAX_ENTRY_AGE) || !entry_is_current {
             live.next_at = now + STALE_ENTRY_DELAY;
-            lead.have_order_due(now + STALE_ENTRY_DELAY, id, task);
+            lead.schedule_order(now + STALE_ENTRY_DELAY, id, task);
             return false;
         }
         // A suspect is booked with the whole worker, but takes no more than its step's resources.
@@ -195,7 +195,7 @@
             let (how, saved) = (EndKind::NeverRan, String::new());
             self.end_without_report(id, task, run, how, saved, why);
         } else {
-            self.begin_stop_run(id, task);
+            self.stop_run(id, task);
         }
     }
 
@@ -208,7 +208,7 @@
             })
     }
 
-    pub(super) fn end_start(
+    pub(super) fn handle_start_answer(
         &mut self,
         id: &WorkerId,
         task: TaskKey,
@@ -268,7 +268,7 @@
                 live.phase = RunPhase::Running { since: now };
                 live.began = now;
                 live.measured = live.copies == 0;
-                lead.begun.insert(task.step.job);
+                lead.started_jobs.insert(task.step.job);
                 self.log_often("runs", "start", || {
                     (task.to_string(), format!("run {run} on {id}"))
                 });
@@ -277,13 +277,13 @@
             WorkerAnswer::NoReply => {
                 live.copies += 1;
                 live.next_at = now;
-                lead.have_order_due(now, id, task);
+                lead.schedule_order(now, id, task);
                 self.counters.count("retries", "order_unanswered");
                 return;
             }
             WorkerAnswer::PortRefused | WorkerAnswer::NotSent if live.tries < MAX_ORDER_TRIES => {
                 live.next_at = now + ORDER_RETRY_DELAY;
-                lead.have_order_due(now + ORDER_RETRY_DELAY, id, task);
+                lead.schedule_order(now + ORDER_RETRY_DELAY, id, task);
                 self.counters.count("retries", "order_not_sent");
                 return;
             }
@@ -292,7 +292,7 @@
                 ..
             } if live.tries < MAX_ORDER_TRIES => {
                 live.next_at = now;
-                lead.have_order_due(now, id, task);
+                lead.schedule_order(now, id, task);
                 return;
             }
             _ => {}
@@ -326,12 +326,12 @@
         if known_not_started && !refused_as_old {
             self.end_without_report(id, task, run, EndKind::NeverRan, String::new(), why);
         } else {
-            self.begin_stop_run(id, task);
+            self.stop_run(id, task);
         }
     }
 
     /// Stops a run. Its resources become free when the worker reports its end or no longer reports the run.
-    pub(super) fn begin_stop_run(&mut self, id: &WorkerId, task: TaskKey) {
+    pub(super) fn stop_run(&mut self, id: &WorkerId, task: TaskKey) {
         let now = self.now;
         let keeps_resources = self.enforces(SiteGuard::StopsCount);
         let Some(lead) = self.lead.as_deref_mut() else {
@@ -350,7 +350,7 @@
         live.phase = RunPhase::Stopping { confirmed: None };
         live.next_at = now;
         live.busy = false;
-        lead.have_order_due(now, id, task);
+        lead.schedule_order(now, id, task);
         if keeps_resources {
             return;
         }
@@ -423,7 +423,7 @@
         self.call_worker(id, CallPurpose::Stop { task, run }, call, time);
     }
 
-    pub(super) fn end_stop(
+    pub(super) fn handle_stop_answer(
         &mut self,
         id: &WorkerId,
         task: TaskKey,
@@ -446,7 +446,7 @@
                 confirmed: Some(now),
             };
         }
-        lead.have_order_due(now + STOP_RETRY_DELAY, id, task);
+        lead.schedule_order(now + STOP_RETRY_DELAY, id, task);
         if done {
             self.log_often("runs", "stop", || {
                 (task.to_string(), format!("run {run} on {id}"))
--- a/crates/bankvalve_queue/src/core/overdue_runs.rs
+++ b/crates/bankvalve_queue/src/core/overdue_runs.rs
@@ -122,7 +122,7 @@
             let Some(lead) = self.lead.as_deref_mut() else {
                 return;
             };
-            let moves = lead.moves.get(&report.task).copied().unwrap_or(0);
+            let moves = lead.overdue_stops.get(&report.task).copied().unwrap_or(0);
             let live = lead.live_run(id, &report.task);
             let Some(live) = live.filter(|live| live.run == report.run) else {
                 continue;
@@ -165,11 +165,11 @@
         let Some(lead) = self.lead.as_deref_mut() else {
             return;
         };
-        *lead.moves.entry(task).or_default() += 1;
+        *lead.overdue_stops.entry(task).or_default() += 1;
         if let Some(state) = lead.worker_states.get_mut(id) {
             state.backoff_until = state.backoff_until.max(now + OVERDUE_BACKOFF);
         }
-        self.begin_stop_run(id, task);
+        self.stop_run(id, task);
     }
 }
 
--- a/crates/bankvalve_queue/src/core/placement.rs
+++ b/crates/bankvalve_queue/src/core/placement.rs
@@ -126,7 +126,7 @@
 }
 
 impl EntryCore {
-    pub(super) fn run_placing(&mut self) {
+    pub(super) fn run_placement(&mut self) {
         let now = self.now;
         let by_time = self.uses(PolicySwitch::LatestStart);
         // Without a configuration, the customers' limits are unknown.
@@ -134,15 +134,15 @@
         let Some(lead) = self.lead.as_deref_mut() else {
             return;
         };
-        if !lead.workers_known || blocked || now < lead.place_at {
+        if !lead.workers_known || blocked || now < lead.next_placement {
             return;
         }
-        let idle = now.saturating_sub(lead.place_at) < IDLE_PLACEMENT_INTERVAL;
+        let idle = now.saturating_sub(lead.next_placement) < IDLE_PLACEMENT_INTERVAL;
         if !lead.placement_due && idle {
             return;
         }
         lead.placement_due = false;
-        lead.place_at = now + MIN_PLACEMENT_INTERVAL;
+        lead.next_placement = now + MIN_PLACEMENT_INTERVAL;
         let wall = self.wall;
         let mut ranked: Vec<(WaitingRank, StepKey)> = lead
             .waiting
@@ -158,14 +158,14 @@
             })
             .collect();
         ranked.sort_unstable();
-        self.begin_usage();
-        self.leave_out_at_limit(&mut ranked);
+        self.sum_usage_for_placement();
+        self.remove_steps_at_limit(&mut ranked);
         self.note_backlog();
         let Some(lead) = self.lead.as_deref_mut() else {
             return;
         };
         ranked.truncate(MAX_STEPS_PER_PASS);
-        lead.place_at += PLACEMENT_INTERVAL_PER_STEP * ranked.len() as u32;
+        lead.next_placement += PLACEMENT_INTERVAL_PER_STEP * ranked.len() as u32;
         let largest_free = lead.max_free();
         let considered = ranked.len() as u64;
         self.counters
@@ -213,7 +213,7 @@
     }
 
     /// Prepares tasks of a step for a start beside any other runs, whether the tasks wait yet or not.
-    pub(super) fn due_step(&self, key: StepKey, tasks: Vec<TaskKey>) -> Option<StepToPlace> {
+    pub(super) fn step_to_restart(&self, key: StepKey, tasks: Vec<TaskKey>) -> Option<StepToPlace> {
         self.new_step_to_place(key, (tasks, Vec::new(), Vec::new()))
     }
 
@@ -381,7 +381,7 @@
         let mut unasked = Vec::new();
         if !is_complete && can_request {
             let allowed: Vec<(&WorkerId, &WorkerState)> =
-                advice.good().filter_map(eligible).collect();
+                advice.allowed_workers().filter_map(eligible).collect();
             let wider = assign_workers(step, &allowed, now);
             if wider.len() > assignment.len() {
                 request = workers_to_ask(&wider);
--- a/crates/bankvalve_queue/src/core/readiness.rs
+++ b/crates/bankvalve_queue/src/core/readiness.rs
@@ -14,7 +14,7 @@
     /// It knows no leader.
     NoLeader,
     /// It has had no contact with its leader for too long.
-    SilentLeader,
+    LeaderContactLost,
 }
 
 impl UnreadyReason {
@@ -23,7 +23,7 @@
             UnreadyReason::NoTable => "no configuration",
             UnreadyReason::Stopping => "the instance is stopping",
             UnreadyReason::NoLeader => "no leader is known",
-            UnreadyReason::SilentLeader => "no contact with the leader",
+            UnreadyReason::LeaderContactLost => "no contact with the leader",
         }
     }
 }
@@ -40,7 +40,7 @@
         } else if self.leader.is_none() {
             Some(UnreadyReason::NoLeader)
         } else {
-            Some(UnreadyReason::SilentLeader)
+            Some(UnreadyReason::LeaderContactLost)
         }
     }
 
@@ -67,7 +67,7 @@
     }
 
     /// Logs a request that timed out: what it asked for, how long ago, and where it was last sent.
-    pub(super) fn log_given_up(&mut self, open: &OpenRequest) {
+    pub(super) fn log_timed_out(&mut self, open: &OpenRequest) {
         let kind = request_kind(&open.request);
         let sent = match open.sent {
             Some((to, at)) => format!("last sent to {to} {:?} ago", self.age(at)),
--- a/crates/bankvalve_queue/src/core/restart_preparation.rs
+++ b/crates/bankvalve_queue/src/core/restart_preparation.rs
@@ -280,7 +280,7 @@
         };
         let wanted = restarting.due.len() + restarting.later;
         let tasks = restarting.due.clone();
-        let Some(step) = self.due_step(key, tasks) else {
+        let Some(step) = self.step_to_restart(key, tasks) else {
             return prepared;
         };
         if let Some(rule) = step.rule {
@@ -330,18 +330,19 @@
         let may_take = |id: &WorkerId, state: &WorkerState| {
             is_eligible((id, state), step, now) && tasks_on(state, step.key) < step.worker_limit()
         };
-        let allowed = advice.good().filter(|id| {
+        let allowed = advice.allowed_workers().filter(|id| {
             lead.worker_states
                 .get(id)
                 .is_some_and(|state| may_take(id, state))
         });
         let allowed = allowed.count();
         let missing = (tasks * ALLOWED_PER_TASK + ALLOWED_SPARE).saturating_sub(allowed);
-        if missing == 0 || advice.explores() || !advice.may_retry(now) {
+        if missing == 0 || advice.asks_about_unknown() || !advice.may_retry(now) {
             return allowed;
         }
         let unknown = lead.worker_states.iter();
-        let unknown = unknown.filter(|(id, state)| !advice.is_known(id) && may_take(id, state));
+        let unknown =
+            unknown.filter(|(id, state)| !advice.has_answer_for(id) && may_take(id, state));
         let unknown: Vec<(&WorkerId, &WorkerState)> = unknown.collect();
         let count = (missing * ADVICE_PER_MISSING).clamp(MIN_ADVICE_WORKERS, MAX_ADVICE_WORKERS);
         let workers_to_ask = workers_with_most_free(step, &unknown, count, now);
@@ -395,7 +396,8 @@
         let lasts = Duration::from_millis(rule.valid_ms);
         let needed = now + takes + lead.time_to_commit();
         let soon = |plan: &&CapacityPlan| plan.after() <= takes + lasts / 2;
-        let due = |id: &&WorkerId| !advice.is_asked(id) && advice.permit(id, needed).is_none();
+        let due =
+            |id: &&WorkerId| !advice.is_in_flight_for(id) && advice.permit(id, needed).is_none();
         let workers = plans.iter().filter(soon).map(CapacityPlan::worker);
         let mut workers_to_ask: Vec<WorkerId> = workers.filter(due).cloned().collect();
         workers_to_ask.sort_unstable();
--- a/crates/bankvalve_queue/src/core/round_trip.rs
+++ b/crates/bankvalve_queue/src/core/round_trip.rs
@@ -32,7 +32,7 @@
     last_round_trip: Option<(Duration, CoreTime)>,
     /// Send time, by this instance's clock, of the last heartbeat that the peer is known to have
     /// received.
-    contact: Option<CoreTime>,
+    last_acknowledged: Option<CoreTime>,
 }
 
 impl PeerEcho {
@@ -48,14 +48,14 @@
         // An earlier process of this instance may have sent the heartbeat that is echoed.
         let sent_at = Duration::from_millis(echo.sent_ms);
         if sent_at <= now {
-            self.contact = self.contact.max(Some(sent_at));
+            self.last_acknowledged = self.last_acknowledged.max(Some(sent_at));
         }
     }
 
     /// Returns the send time of the last heartbeat that the peer is known to have received. The arrival
     /// time of its echo would be wrong: the echo may have waited while this instance was frozen.
-    pub(super) fn contact(&self) -> Option<CoreTime> {
-        self.contact
+    pub(super) fn last_acknowledged(&self) -> Option<CoreTime> {
+        self.last_acknowledged
     }
 
     /// Returns when its last heartbeat arrived.
@@ -66,8 +66,8 @@
     /// Returns whether the peer knows that this instance receives its heartbeats. It then counts this
     /// instance as in mutual contact.
     pub(super) fn is_mutual(&self) -> bool {
-        let times = self.first_heartbeat.zip(self.contact);
-        times.is_some_and(|(first, contact)| contact >= first)
+        let times = self.first_heartbeat.zip(self.last_acknowledged);
+        times.is_some_and(|(first, last_acknowledged)| last_acknowledged >= first)
     }
 
     fn echo(&self, now: CoreTime) -> Option<HeartbeatEcho> {
--- a/crates/bankvalve_queue/src/core/stopped_leases.rs
+++ b/crates/bankvalve_queue/src/core/stopped_leases.rs
@@ -140,7 +140,7 @@
         let Some(lead) = self.lead.as_deref() else {
             return;
         };
-        let unresponsive = |(_, state): &(&WorkerId, &WorkerState)| is_unresponsive(state, seen);
+        let unresponsive = |(_, state): &(&WorkerId, &WorkerState)| must_stop_renewal(state, seen);
         let workers: Vec<WorkerId> = lead
             .worker_states
             .iter()
@@ -228,7 +228,7 @@
 }
 
 /// Returns whether a worker with runs has been out of contact for so long that its lease is not renewed.
-fn is_unresponsive(state: &WorkerState, seen: CoreTime) -> bool {
+fn must_stop_renewal(state: &WorkerState, seen: CoreTime) -> bool {
     let since = state.last_contact.unwrap_or(state.known_at);
     let polled = state.token_accepted
         || state.entry.address.is_empty()
--- a/crates/bankvalve_queue/src/core/store_link.rs
+++ b/crates/bankvalve_queue/src/core/store_link.rs
@@ -54,7 +54,7 @@
     ReadCell,
     WatchCell,
     Operator,
-    AskOperator,
+    QueryConfig,
     /// Workers' entries: a page of all of them, or their changes since a version.
     Workers {
         full: bool,
@@ -175,13 +175,13 @@
             }
             StorePurpose::Confirm => self.end_confirm(&outcome),
             StorePurpose::ReadLedger { from } => {
-                self.end_ledger_page(from, pending_request.asked_at, outcome);
+                self.end_ledger_page(from, pending_request.sent_at, outcome);
             }
             StorePurpose::LeaderRow => self.end_leader_row(&outcome),
             StorePurpose::ReadCell => self.end_read_cell(outcome),
             StorePurpose::WatchCell => self.end_watch_cell(outcome),
             StorePurpose::Operator => self.end_operator(outcome),
-            StorePurpose::AskOperator => self.end_ask_operator(outcome),
+            StorePurpose::QueryConfig => self.end_config_query(outcome),
             StorePurpose::Workers { full, scan } => self.end_workers(outcome, full, scan),
             StorePurpose::DropMember => {}
             StorePurpose::Probe => self.end_probe(&outcome),
--- a/crates/bankvalve_queue/src/core/store_requests.rs
+++ b/crates/bankvalve_queue/src/core/store_requests.rs
@@ -48,7 +48,7 @@
 #[derive(Debug)]
 pub(super) struct OpenStoreRequest {
     pub(super) purpose: StorePurpose,
-    pub(super) asked_at: CoreTime,
+    pub(super) sent_at: CoreTime,
     /// Time that the table itself may wait for a change.
     table_wait: Duration,
     /// When the request counts as lost, if neither its answer nor its failure has been reported.
@@ -66,13 +66,13 @@
 
 impl StoreTimeouts {
     /// Returns the usual latency of small answers, or zero before the first one.
-    pub(super) fn usual(&self) -> Duration {
+    pub(super) fn usual_latency(&self) -> Duration {
         self.latency.unwrap_or_default()
     }
 
     fn note_latency(&mut self, took: Duration) {
-        let usual = self.latency.unwrap_or(took);
-        let risen = usual + took.saturating_sub(usual) / LATENCY_RISE_DIVISOR;
+        let usual_latency = self.latency.unwrap_or(took);
+        let risen = usual_latency + took.saturating_sub(usual_latency) / LATENCY_RISE_DIVISOR;
         self.latency = Some(risen.min(took));
     }
 
@@ -101,7 +101,7 @@
             StorePurpose::Operator | StorePurpose::Workers { .. } if self.table_wait.is_zero() => {
                 MAX_LARGE_DOUBLINGS
             }
-            StorePurpose::AskOperator => MAX_LARGE_DOUBLINGS,
+            StorePurpose::QueryConfig => MAX_LARGE_DOUBLINGS,
             // These check whether the table answers in time, so their timeout is fixed.
             StorePurpose::Confirm | StorePurpose::Probe => 0,
             _ => MAX_DOUBLINGS,
@@ -122,7 +122,7 @@
             StorePurpose::ReadCell => "read_cell",
             StorePurpose::WatchCell => "watch_cell",
             StorePurpose::Operator => "operator",
-            StorePurpose::AskOperator => "ask_operator",
+            StorePurpose::QueryConfig => "ask_operator",
             StorePurpose::Workers { .. } => "workers",
             StorePurpose::DropMember => "drop_member",
             StorePurpose::Probe => "probe",
@@ -165,7 +165,7 @@
         let doublings = timeouts.doublings.get(&kind).copied();
         let doublings = doublings.filter(|_| self.enforces(SiteGuard::GrowingPatience));
         let time = (base * 2_u32.pow(doublings.unwrap_or(0)))
-            .max(timeouts.usual() * LATENCY_FACTOR)
+            .max(timeouts.usual_latency() * LATENCY_FACTOR)
             .min(MAX_TIMEOUT);
         self.open_store_request(purpose, request, table_wait, time)
     }
@@ -191,7 +191,7 @@
         let ticket = self.take_ticket();
         let pending_request = OpenStoreRequest {
             purpose,
-            asked_at: self.now,
+            sent_at: self.now,
             table_wait,
             expires_at: self.now + time + EXPIRY_SLACK,
         };
@@ -210,7 +210,7 @@
         pending_request: &OpenStoreRequest,
         outcome: &StoreOutcome,
     ) {
-        let took = self.age(pending_request.asked_at);
+        let took = self.age(pending_request.sent_at);
         let kind = pending_request.kind();
         match outcome {
             StoreOutcome::Lost => {
--- a/crates/bankvalve_queue/src/core/table_watch.rs
+++ b/crates/bankvalve_queue/src/core/table_watch.rs
@@ -104,9 +104,9 @@
     /// Watches the configuration, and queries it if the watch is not enough.
     pub(super) fn run_table(&mut self) {
         self.watch_operator();
-        self.ask_operator();
+        self.query_config();
         self.run_pull();
-        self.end_old_lookups();
+        self.expire_lookups();
     }
 
     fn watch_operator(&mut self) {
@@ -130,7 +130,7 @@
 
     /// Queries the table for a newer version, if a peer has announced one or the configuration in force
     /// denies a caller's request. Only one query is in flight at a time.
-    fn ask_operator(&mut self) {
+    fn query_config(&mut self) {
         let now = self.now;
         let behind = self.is_behind_announced();
         let tables = &mut self.tables;
@@ -155,7 +155,7 @@
             complete,
         });
         self.counters.count("config", "question");
-        self.send_store_request(StorePurpose::AskOperator, request);
+        self.send_store_request(StorePurpose::QueryConfig, request);
     }
 
     /// Returns whether a peer has announced a newer version than the one in force here.
@@ -209,7 +209,7 @@
         let purpose = request.map(|request| &request.purpose);
         if matches!(
             purpose,
-            Some(StorePurpose::Operator | StorePurpose::AskOperator)
+            Some(StorePurpose::Operator | StorePurpose::QueryConfig)
         ) {
             self.extend_store_request(ticket);
             self.tables.arriving = Some(ticket);
@@ -248,7 +248,7 @@
     }
 
     /// Handles the result of a configuration query.
-    pub(super) fn end_ask_operator(&mut self, outcome: StoreOutcome) {
+    pub(super) fn end_config_query(&mut self, outcome: StoreOutcome) {
         let now = self.now;
         let Some(query) = self.tables.query.take() else {
             return;
@@ -297,13 +297,13 @@
         }
     }
 
-    /// Handles the table's answer to a request that was sent at `asked_at`. Returns whether the
+    /// Handles the table's answer to a request that was sent at `sent_at`. Returns whether the
     /// configuration in it could be read.
     fn handle_operator_news(
         &mut self,
         news: OperatorNews,
         version: u64,
-        asked_at: CoreTime,
+        sent_at: CoreTime,
     ) -> bool {
         if news.table.is_none() && !news.raw.is_empty() {
             let detail = format!("{} bytes at version {version}", news.raw.len());
@@ -317,7 +317,7 @@
         if let Some(table) = news.table {
             self.use_table(table, news.raw, TableSource::Table);
         }
-        self.record_newest_at(asked_at);
+        self.record_newest_at(sent_at);
         true
     }
 
--- a/crates/bankvalve_queue/src/core/waiting_steps.rs
+++ b/crates/bankvalve_queue/src/core/waiting_steps.rs
@@ -1,6 +1,6 @@
 //! Steps that wait for placement, and the order in which they get capacity.
 
-use super::customer_shares::JobTurn;
+use super::customer_shares::ScheduledStart;
 use super::EntryCore;
 use crate::customer::CustomerName;
 use crate::ids::{CoreTime, JobId, StepKey, TaskKey, WorkerId};
@@ -15,7 +15,7 @@
 pub(super) struct WaitingStep {
     pub(super) tasks: u32,
     /// Scheduled start of its job, if the job exceeded its customer's share when it arrived.
-    turn: Option<JobTurn>,
+    scheduled_start: Option<ScheduledStart>,
     pub(super) gang: bool,
     /// Resources of each task. Those of a best-effort task include the CPU that it uses but does not reserve.
     pub(super) size: TaskSize,
@@ -52,7 +52,12 @@
 pub(super) const FIRST_RANK: WaitingRank = (0, i64::MIN);
 
 impl WaitingStep {
-    fn new(job: &JobRecord, key: StepKey, tasks: u32, turn: Option<JobTurn>) -> Self {
+    fn new(
+        job: &JobRecord,
+        key: StepKey,
+        tasks: u32,
+        scheduled_start: Option<ScheduledStart>,
+    ) -> Self {
         let chains = job.spec.chains_ms();
         let longest = chains.iter().copied().max().unwrap_or(0) as f64;
         let remaining = chains[usize::from(key.step)] as f64;
@@ -62,11 +67,14 @@
             due => due,
         } as f64;
         // The objective of a job beyond its customer's share counts from its scheduled start.
-        let begin = begin + turn.map_or(0.0, |turn| turn.wait.as_secs_f64() * 1_000.0);
+        let begin = begin
+            + scheduled_start.map_or(0.0, |scheduled_start| {
+                scheduled_start.wait.as_secs_f64() * 1_000.0
+            });
         let step = &job.spec.steps[usize::from(key.step)];
         Self {
             tasks,
-            turn,
+            scheduled_start,
             gang: step.gang,
             size: step.size,
             customer: job.spec.customer.clone(),
@@ -85,7 +93,8 @@
 
     /// Returns whether all steps within their customers' shares come before it.
     pub(super) fn is_beyond_share(&self, now: CoreTime) -> bool {
-        self.turn.is_some_and(|turn| now < turn.at)
+        self.scheduled_start
+            .is_some_and(|scheduled_start| now < scheduled_start.at)
     }
 
     /// Returns how late its job can finish if it starts at a time of day.
@@ -168,7 +177,7 @@
         let Some(job) = self.book.job(id) else {
             return;
         };
-        let turn = lead.shares.turn_of(id);
+        let scheduled_start = lead.shares.scheduled_start(id);
         let mut stops = Vec::new();
         if job.outcome != JobOutcome::Open {
             for (time, record) in &job.times {
@@ -193,13 +202,13 @@
                         add_placed_in_step(key, record, &mut stops);
                     } else {
                         lead.waiting
-                            .insert(key, WaitingStep::new(job, key, waiting, turn));
+                            .insert(key, WaitingStep::new(job, key, waiting, scheduled_start));
                     }
                 }
             }
         }
         for (task, worker) in stops {
-            self.begin_stop_run(&worker, task);
+            self.stop_run(&worker, task);
         }
     }
 }
--- a/crates/bankvalve_queue/src/core/worker_entries.rs
+++ b/crates/bankvalve_queue/src/core/worker_entries.rs
@@ -242,7 +242,7 @@
             return;
         };
         lead.dirty_jobs.extend(open.iter().copied());
-        lead.begun.extend(begun);
+        lead.started_jobs.extend(begun);
         for adopted in placed {
             lead.dirty_jobs.insert(adopted.task.step.job);
             let lease_stop = self.stopped_leases.state_of(&adopted.worker);
@@ -295,7 +295,7 @@
         );
         self.log("workers", "leaving", id.to_string(), detail);
         for task in to_stop {
-            self.begin_stop_run(id, task);
+            self.stop_run(id, task);
         }
     }
 }
--- a/crates/bankvalve_queue/src/core/worker_reports.rs
+++ b/crates/bankvalve_queue/src/core/worker_reports.rs
@@ -81,7 +81,7 @@
             state.last_end_committed = end.number;
         }
         lead.placement_due = true;
-        lead.begun.insert(end.task.step.job);
+        lead.started_jobs.insert(end.task.step.job);
         let is_known_run = state
             .runs
             .get(&end.task)
@@ -199,7 +199,7 @@
                     state.remove_run(&key);
                 }
             } else {
-                self.begin_stop_run(&worker, key);
+                self.stop_run(&worker, key);
             }
         }
     }
@@ -256,7 +256,7 @@
                     if matches!(live.phase, RunPhase::Adopted | RunPhase::Ordered) {
                         live.phase = RunPhase::Running { since: now };
                         lead.dirty_jobs.insert(report.task.step.job);
-                        lead.begun.insert(report.task.step.job);
+                        lead.started_jobs.insert(report.task.step.job);
                     }
                     live.listed_at = Some(now);
                     if !report.saved.is_empty() && live.saved != report.saved {
--- a/crates/bankvalve_queue/src/core/worker_selection.rs
+++ b/crates/bankvalve_queue/src/core/worker_selection.rs
@@ -280,7 +280,7 @@
         .worker_states
         .iter()
         .filter(|(id, state)| has_capacity(state) && is_eligible((id, state), step, now))
-        .filter(|(id, _)| !advice.is_known(id))
+        .filter(|(id, _)| !advice.has_answer_for(id))
         .collect();
     workers_with_most_free(step, &workers, advice_request_size(step), now)
 }
