--- a/crates/bankvalve_queue/src/core/advice.rs
+++ b/crates/bankvalve_queue/src/core/advice.rs
@@ -41,7 +41,7 @@
 const LONG_REQUEST: Duration = Duration::from_millis(60);
 /// Time for the round trip of a request and its answer.
 const REQUEST_ROUND_TRIP: Duration = Duration::from_millis(6);
-/// Time after which a request is abandoned if its answer has not come when expected.
+/// Time after the expected time of its answer at which a request is abandoned.
 const LATE_ANSWER_TIMEOUT: Duration = Duration::from_millis(900);
 /// Time between two checks for requests without an answer.
 const TIMEOUT_SCAN_INTERVAL: Duration = Duration::from_millis(20);
@@ -63,10 +63,12 @@
 struct InFlightAdvice {
     ticket: Ticket,
     adviser: PeerAddress,
-    asked: Vec<WorkerId>,
+    workers: Vec<WorkerId>,
     /// When the answer is expected.
     expected: CoreTime,
+    /// Whether it takes longer than [`LONG_REQUEST`].
     long: bool,
+    /// When it is abandoned.
     until: CoreTime,
 }
 
@@ -78,6 +80,7 @@
     /// Workers about which the service has answered.
     answered: BTreeSet<WorkerId>,
     in_flight: Vec<InFlightAdvice>,
+    /// When the next request may be sent.
     retry_at: CoreTime,
 }
 
@@ -121,13 +124,13 @@
     /// Returns whether a request about a worker is in flight.
     pub(super) fn is_in_flight_for(&self, worker: &WorkerId) -> bool {
         let mut in_flight = self.in_flight.iter();
-        in_flight.any(|request| request.asked.contains(worker))
+        in_flight.any(|request| request.workers.contains(worker))
     }
 
     /// Returns whether a request is in flight about workers of which nothing is known.
     pub(super) fn asks_about_unknown(&self) -> bool {
-        let mut asked = self.in_flight.iter().flat_map(|request| &request.asked);
-        asked.any(|worker| !self.answered.contains(worker))
+        let mut workers = self.in_flight.iter().flat_map(|request| &request.workers);
+        workers.any(|worker| !self.answered.contains(worker))
     }
 
     pub(super) fn has_no_answer(&self) -> bool {
@@ -199,7 +202,7 @@
         advice.in_flight.push(InFlightAdvice {
             ticket,
             adviser,
-            asked: workers.clone(),
+            workers: workers.clone(),
             expected,
             long: duration > LONG_REQUEST,
             until,
@@ -305,7 +308,7 @@
                 format!(
                     "{} of {} workers may run it",
                     permits.len(),
-                    request.asked.len()
+                    request.workers.len()
                 )
             }
             other => format!("{other:?}"),
@@ -314,7 +317,7 @@
         match answer {
             AdviceAnswer::Good { permits, valid_ms } => {
                 let valid = Duration::from_millis(valid_ms).saturating_sub(PERMIT_MARGIN);
-                advice.answered.extend(request.asked);
+                advice.answered.extend(request.workers);
                 for (worker, text) in permits {
                     let until = now + valid;
                     advice.allowed.insert(worker, Permit { text, until });
--- a/crates/bankvalve_queue/src/core/call_proxies.rs
+++ b/crates/bankvalve_queue/src/core/call_proxies.rs
@@ -4,7 +4,7 @@
 //! On a site with 1,100 workers and 1,500 starts a second, calls alone take 0.08 of a core. So if a
 //! leader has many workers for its CPU capacity, its standbys send its calls and forward the answers.
 //! The leader still makes all decisions and determines the outcome of each call: if no answer reaches
-//! it in time, the call is unanswered, whichever instance sent it. Workers compare the leader's token.
+//! it in time, the call is unanswered, whichever instance sent it. Workers check the leader's fencing token.
 //! A proxy has each job in its own book, so a proxied start does not contain the job.
 
 use std::time::Duration;
--- a/crates/bankvalve_queue/src/core/callers.rs
+++ b/crates/bankvalve_queue/src/core/callers.rs
@@ -491,8 +491,8 @@
         }
     }
 
-    /// Queues a request until it is confirmed that this instance leads: only then it may answer that
-    /// there is no such job, or that a job is open.
+    /// Queues a request until it is confirmed that this instance leads. Only then may it answer that there
+    /// is no such job, or that a job is open.
     fn await_confirmation(
         &mut self,
         origin: Origin,
--- a/crates/bankvalve_queue/src/core/capacity_reclaim.rs
+++ b/crates/bankvalve_queue/src/core/capacity_reclaim.rs
@@ -49,7 +49,7 @@
 /// Time that a step which is not urgent waits for runs to end before it has a run stopped.
 const WAIT_BEFORE_STOP: Duration = Duration::from_millis(700);
 /// Maximum number of times that a task is stopped for other steps, so that it can finish.
-const MAX_STOPS: u32 = 3;
+const MAX_PREEMPTIONS: u32 = 3;
 /// Weight of an accelerator in millicores when runs to stop are selected. The platform uses the same figure.
 const ACCELERATOR_WEIGHT: u64 = 8_000;
 
@@ -391,7 +391,7 @@
     }
 
     fn may_preempt_for(&self, step: &StepToPlace, task: TaskKey, live: &LiveRun) -> bool {
-        let stops = self
+        let preemptions = self
             .lead
             .as_deref()
             .and_then(|lead| lead.preemptions.get(&task));
@@ -402,7 +402,7 @@
             && !live.must_not_move
             && live.priority > step.priority
             && matches!(live.phase, RunPhase::Running { .. })
-            && stops.copied().unwrap_or(0) < MAX_STOPS
+            && preemptions.copied().unwrap_or(0) < MAX_PREEMPTIONS
     }
 
     fn apply_plans(&mut self, step: &StepToPlace, plans: &[CapacityPlan]) {
--- a/crates/bankvalve_queue/src/core/commit.rs
+++ b/crates/bankvalve_queue/src/core/commit.rs
@@ -179,14 +179,14 @@
         let Some(lead) = self.lead.as_deref() else {
             return false;
         };
-        let flight = lead.flight.as_ref();
+        let commit = lead.in_flight_commit.as_ref();
         lead.unavailable_since.is_some()
-            || flight.is_some_and(|flight| {
-                let age = self.age(flight.since);
+            || commit.is_some_and(|commit| {
+                let age = self.age(commit.since);
                 let unresponsive = self
                     .store_last_contact
                     .is_none_or(|at| self.age(at) > RECENT_ANSWER);
-                flight.refused >= UNAVAILABLE_REFUSALS
+                commit.refused >= UNAVAILABLE_REFUSALS
                     || (unresponsive && age > UNANSWERED_LIMIT)
                     || age > STUCK_WRITE_LIMIT
             })
@@ -201,7 +201,7 @@
         if !lead.loaded {
             return;
         }
-        if lead.flight.is_some() {
+        if lead.in_flight_commit.is_some() {
             self.pursue_commit();
             return;
         }
@@ -224,7 +224,7 @@
             return;
         }
         lead.next_commit_at = now + COMMIT_INTERVAL;
-        lead.flight = Some(InFlightCommit {
+        lead.in_flight_commit = Some(InFlightCommit {
             sequence: lead.sequence + 1,
             rows,
             events,
@@ -245,13 +245,13 @@
         let Some(lead) = self.lead.as_deref() else {
             return;
         };
-        let Some(flight) = lead.flight.as_ref() else {
+        let Some(commit) = lead.in_flight_commit.as_ref() else {
             return;
         };
         let leader = RowKey::new(CELL_TABLE, LEAD_PART, "leader");
         let fenced = self.enforces(SiteGuard::OwnRow);
-        let numbered = flight.sequence..;
-        let writes = numbered.zip(&flight.rows).map(|(sequence, row)| RowWrite {
+        let numbered = commit.sequence..;
+        let writes = numbered.zip(&commit.rows).map(|(sequence, row)| RowWrite {
             key: batch_row(sequence),
             value: row.clone(),
         });
@@ -262,7 +262,7 @@
             },
             // The other batches are written in the same transaction, so checking the first one is enough.
             RowCondition {
-                key: batch_row(flight.sequence),
+                key: batch_row(commit.sequence),
                 version: 0,
             },
         ];
@@ -273,7 +273,7 @@
         };
         self.counters.count("commits", "sent");
         let purpose = StorePurpose::Commit {
-            sequence: flight.sequence,
+            sequence: commit.sequence,
             sent_at: self.now,
         };
         self.note_store_request();
@@ -285,8 +285,8 @@
         let Some(lead) = self.lead.as_deref_mut() else {
             return;
         };
-        let is_current = |flight: &InFlightCommit| flight.sequence == sequence;
-        if !lead.flight.as_ref().is_some_and(is_current) {
+        let is_current = |commit: &InFlightCommit| commit.sequence == sequence;
+        if !lead.in_flight_commit.as_ref().is_some_and(is_current) {
             return;
         }
         if matches!(
@@ -295,15 +295,15 @@
         ) {
             lead.note_commit(now.saturating_sub(sent_at), now);
         }
-        let Some(flight) = lead.flight.as_mut() else {
+        let Some(commit) = lead.in_flight_commit.as_mut() else {
             return;
         };
         match outcome {
             StoreOutcome::Applied { .. } => self.finish_commit(sent_at),
             StoreOutcome::Conflict { rows } => {
-                let applied = own_batch_is_stored(&rows, flight, lead.row_version);
+                let applied = own_batch_is_stored(&rows, commit, lead.row_version);
                 if applied {
-                    let begun_at = flight.since;
+                    let begun_at = commit.since;
                     self.finish_commit(begun_at);
                 } else {
                     self.step_down("a write was refused because this leader's row has changed");
@@ -311,15 +311,15 @@
                 }
             }
             StoreOutcome::Lost => {
-                flight.copies = flight.copies.saturating_sub(1);
-                flight.next_at = now;
-                flight.uncertain = true;
+                commit.copies = commit.copies.saturating_sub(1);
+                commit.next_at = now;
+                commit.uncertain = true;
                 self.withdraw_uncommitted();
             }
             _ => {
-                flight.copies = flight.copies.saturating_sub(1);
-                flight.next_at = now + REFUSED_PAUSE;
-                flight.refused += 1;
+                commit.copies = commit.copies.saturating_sub(1);
+                commit.next_at = now + REFUSED_PAUSE;
+                commit.refused += 1;
                 self.withdraw_uncommitted();
             }
         }
@@ -335,15 +335,15 @@
         let Some(lead) = self.lead.as_deref_mut() else {
             return;
         };
-        let Some(flight) = lead.flight.take() else {
+        let Some(commit) = lead.in_flight_commit.take() else {
             return;
         };
-        lead.sequence = flight.sequence + flight.rows.len() as u64 - 1;
+        lead.sequence = commit.sequence + commit.rows.len() as u64 - 1;
         lead.confirmed_at = lead.confirmed_at.max(confirmed_at);
         lead.note_store_answer();
         lead.unavailable_since = None;
         self.applied = lead.sequence;
-        for job in flight.events.iter().filter_map(LedgerEvent::job) {
+        for job in commit.events.iter().filter_map(LedgerEvent::job) {
             if let Some(count) = lead.uncommitted.get_mut(&job) {
                 *count -= 1;
                 if *count == 0 {
@@ -355,10 +355,10 @@
         let limited = lead.load.was_limited_recently(now);
         self.counters.count("commits", "kept");
         let standbys = self.live_standbys();
-        for (sequence, row) in (flight.sequence..).zip(flight.rows) {
+        for (sequence, row) in (commit.sequence..).zip(commit.rows) {
             self.send_to_standbys(&standbys, limited, epoch, sequence, row);
         }
-        self.run_effects(flight.effects);
+        self.run_effects(commit.effects);
     }
 
     /// Sends a committed batch to the standbys: to each of them, or, if the leader was recently
@@ -490,14 +490,14 @@
 }
 
 /// Returns whether the rows of a conflict show that an earlier copy of the write was applied.
-fn own_batch_is_stored(rows: &[StoredRow], flight: &InFlightCommit, row_version: u64) -> bool {
-    let key = batch_row(flight.sequence);
+fn own_batch_is_stored(rows: &[StoredRow], commit: &InFlightCommit, row_version: u64) -> bool {
+    let key = batch_row(commit.sequence);
     let leader_row_unchanged = rows
         .iter()
         .any(|row| row.key.table == CELL_TABLE && row.version == row_version);
     let batch_is_stored = rows
         .iter()
-        .any(|row| row.key == key && row.value == flight.rows[0]);
+        .any(|row| row.key == key && row.value == commit.rows[0]);
     leader_row_unchanged && batch_is_stored
 }
 
--- a/crates/bankvalve_queue/src/core/customer_limits.rs
+++ b/crates/bankvalve_queue/src/core/customer_limits.rs
@@ -3,8 +3,8 @@
 //! Problem: tasks start for many reasons (first starts, retries, gangs, into reclaimed capacity, after a
 //! loss, after a takeover), and one kind of start that skips the check breaks the limit. So all of them
 //! go through [`EntryCore::within_limit`]. The usage is not stored in a counter, which could deviate
-//! from the runs, but summed up from the runs for each placement. A run counts from the decision to
-//! start it until its end is known, on any worker and under any leader.
+//! from the runs, but summed up from the runs for each placement pass. A run counts from the decision
+//! to start it until its end is known, on any worker and under any leader.
 
 use std::collections::BTreeMap;
 
@@ -33,7 +33,7 @@
 }
 
 impl CustomerLimits {
-    /// Takes over the limits of a configuration. A customer that is not in it keeps its limit.
+    /// Applies the limits of a configuration. A customer that is not in it keeps its limit.
     fn update(&mut self, table: &QueueTable, now: CoreTime) {
         for rule in table.customers() {
             let known = self.known.entry(rule.name.clone()).or_default();
@@ -60,8 +60,8 @@
     }
 }
 
-/// What customers have running, and during a placement also what is reserved for steps that wait for
-/// their customer's limit.
+/// What customers have running, and during a placement pass also what is reserved for steps that wait
+/// for their customer's limit.
 #[derive(Debug, Default)]
 pub(super) struct CustomerUsage {
     running: BTreeMap<CustomerName, TaskSize>,
@@ -101,12 +101,12 @@
 }
 
 impl EntryCore {
-    /// Takes over the limits of a configuration that is about to be in force.
+    /// Applies the limits of a configuration that is about to be in force.
     pub(super) fn note_limits(&mut self, table: &QueueTable) {
         self.limits.update(table, self.now);
     }
 
-    /// Sums up what customers have running, for a placement.
+    /// Sums up what customers have running, for a placement pass.
     pub(super) fn sum_usage_for_placement(&mut self) {
         let any = self.limits.has_limits();
         if let Some(lead) = self.lead.as_deref_mut() {
@@ -121,8 +121,8 @@
     /// in the order of placement.
     ///
     /// What is free below the limit is reserved for a gang that waits for it: otherwise smaller steps of
-    /// its customer would use it up again and again. From the next placement on, only urgent steps come
-    /// before such a gang, so that a late gang is not overtaken by steps that are still in time.
+    /// its customer would use it up again and again. From the next placement pass on, only urgent steps
+    /// come before such a gang, so that a late gang is not overtaken by steps that are still in time.
     pub(super) fn remove_steps_at_limit<Rank>(&mut self, ranked: &mut Vec<(Rank, StepKey)>) {
         if !self.limits.has_limits() || !self.enforces(SiteGuard::CustomerLimit) {
             return;
@@ -203,27 +203,27 @@
         )
     }
 
-    /// Reduces the chosen workers to as many as the customer's limit allows: for a gang, all or none.
+    /// Reduces an assignment to as many tasks as the customer's limit allows: for a gang, all or none.
     ///
     /// Every start goes through this function.
-    pub(super) fn within_limit<Choice>(
+    pub(super) fn within_limit<Assigned>(
         &mut self,
         step: &StepToPlace,
-        mut choice: Vec<Choice>,
-    ) -> Vec<Choice> {
+        mut assignment: Vec<Assigned>,
+    ) -> Vec<Assigned> {
         let Some(customer) = &step.customer else {
-            return choice;
+            return assignment;
         };
         let admitted = self.tasks_within_limit(customer, &step.spec.size);
-        if step.spec.gang && choice.len() > admitted {
-            choice.clear();
+        if step.spec.gang && assignment.len() > admitted {
+            assignment.clear();
         }
-        choice.truncate(admitted);
-        let started = step.spec.size.times(choice.len() as u64);
+        assignment.truncate(admitted);
+        let started = step.spec.size.times(assignment.len() as u64);
         if let Some(lead) = self.lead.as_deref_mut() {
             lead.usage.add(customer, &started);
         }
-        choice
+        assignment
     }
 
     /// Returns how many tasks of a size a customer may start in addition to what it has running.
--- a/crates/bankvalve_queue/src/core/customer_shares.rs
+++ b/crates/bankvalve_queue/src/core/customer_shares.rs
@@ -90,7 +90,7 @@
     buckets: BTreeMap<CustomerName, TokenBucket>,
     tallies: BTreeMap<CustomerName, JobTally>,
     beyond: BTreeMap<JobId, BeyondJob>,
-    /// CPU that waiting tasks requested at the last placement, in percent of the CPU of all workers.
+    /// CPU that waiting tasks requested at the last placement pass, in percent of the CPU of all workers.
     backlog_percent: u64,
 }
 
@@ -209,8 +209,8 @@
         views
     }
 
-    /// Records how much CPU the waiting tasks request, for a placement. Steps that wait for their customer's
-    /// limit do not count.
+    /// Records how much CPU the waiting tasks request, for a placement pass. Steps that wait for their
+    /// customer's limit do not count.
     pub(super) fn note_backlog(&mut self) {
         if !self.limits.are_known() {
             return;
--- a/crates/bankvalve_queue/src/core/election.rs
+++ b/crates/bankvalve_queue/src/core/election.rs
@@ -17,10 +17,10 @@
 /// Time without contact after which a leader is suspected: four heartbeats and the delay of a slow
 /// one.
 const SUSPECT_AFTER: Duration = Duration::from_millis(750);
-/// Maximum age of a peer's last contact with the leader that counts against the suspicion.
+/// Maximum age of a peer's last contact with the leader for which this instance does not suspect the leader.
 const RECENT_LEADER_CONTACT: Duration = Duration::from_millis(550);
-/// Time without contact after which an isolated instance suspects the leader. An instance that
-/// reaches no peer is more likely cut off itself.
+/// Time without contact after which an isolated instance suspects the leader. An instance that reaches no
+/// peer is probably cut off itself.
 const ISOLATED_SUSPECT_AFTER: Duration = Duration::from_millis(2_500);
 /// Claim delay for each preferred member that may claim first.
 const PREFERRED_RANK_DELAY: Duration = Duration::from_millis(120);
@@ -509,7 +509,8 @@
 
     fn begin_leadership(&mut self, epoch: u64, row_version: u64) {
         let predecessor = self.leader.take();
-        let asked = self.handover_epoch.take().is_some() && self.handover_leader_stopped;
+        let predecessor_stopped =
+            self.handover_epoch.take().is_some() && self.handover_leader_stopped;
         let ledger_end = self.claim.as_ref().and_then(|claim| claim.ledger_end);
         let complete = ledger_end.is_some_and(|applied| applied == self.applied);
         let claimed_at = self.claim.as_ref().map_or(self.now, |claim| claim.sent_at);
@@ -518,7 +519,7 @@
         self.highest_epoch = self.highest_epoch.max(epoch);
         self.counters.count("elections", "won");
         match &predecessor {
-            Some(old) if asked => self.note_ended_leader(old),
+            Some(old) if predecessor_stopped => self.note_ended_leader(old),
             Some(old) => self.note_former_leader(old),
             None => {}
         }
--- a/crates/bankvalve_queue/src/core/follower_reads.rs
+++ b/crates/bankvalve_queue/src/core/follower_reads.rs
@@ -64,7 +64,7 @@
     ) -> Option<PeerAddress> {
         let leader = self.followed_leader()?;
         let record = self.book.job(job)?;
-        // The leader decides what a caller without access is told.
+        // The leader decides how to answer a caller without access.
         if !self.may_access(record, caller) {
             return None;
         }
--- a/crates/bankvalve_queue/src/core/former_leaders.rs
+++ b/crates/bankvalve_queue/src/core/former_leaders.rs
@@ -5,8 +5,8 @@
 //! follows:
 //!
 //! - *Confirmed leadership:* normally, a lease that it requests ends [`LEASE_DURATION`] after the last time
-//!   at which
-//!   the table is known to have had its row. An instance that claims the row does so after that time.
+//!   at which the table is known to have had its row. An instance that claims the row does so after that
+//!   time.
 //! - *Mutual contact:* while the table is unavailable to all instances, it requests longer leases, but only
 //!   as long as each peer that was recently in mutual contact still receives its heartbeats. An instance that
 //!   was in mutual contact and no longer receives them knows that the leader has stopped requesting longer
@@ -26,10 +26,10 @@
 use crate::peer::{HeartbeatBody, PeerAddress};
 
 /// Age up to which a heartbeat that a peer has received shows that the peer is in contact: three heartbeat
-/// intervals of a non-preferred member, the round trip, and a slow turn of the event loop.
+/// intervals of a non-preferred member, the round trip, and a slow iteration of the event loop.
 const IN_CONTACT_WITHIN: Duration = Duration::from_millis(1_300);
-/// Time before the last confirmation of leadership. A peer that was in contact within it must still be,
-/// because such a peer may rely on it.
+/// Time before the last confirmation of leadership. Each peer that was in contact within it must still be in
+/// contact, because it may rely on that.
 const CONTACT_MEMORY: Duration = Duration::from_secs(10);
 /// Age of the mutual contact with a leader up to which a successor relies on it: half of [`CONTACT_MEMORY`],
 /// so that the two need not agree on the exact time.
@@ -113,7 +113,7 @@
         leases.max().unwrap_or_default().mul_f64(SLOW_CLOCK_FACTOR) + ORDER_SLACK
     }
 
-    /// Returns whether it is known of all former leaders when they stopped.
+    /// Returns whether the times at which all former leaders stopped are known.
     pub(super) fn are_known(&self) -> bool {
         self.leaders.iter().all(|former| former.known)
     }
@@ -198,14 +198,14 @@
         if self.former_leaders.are_known() || !self.enforces(SiteGuard::KnownHolds) {
             return;
         }
-        let (now, own) = (self.now, self.lease_duration());
+        let (now, local_lease) = (self.now, self.lease_duration());
         let mut leaders = std::mem::take(&mut self.former_leaders.leaders);
         for former in leaders.iter_mut().filter(|former| !former.known) {
             if self.is_out_of_contact(former) {
                 former.stops_by = former.stops_by.min(now);
                 former.known = true;
                 // Members of the same version request the same lease.
-                former.lease = former.lease.min(own);
+                former.lease = former.lease.min(local_lease);
             }
         }
         self.former_leaders.leaders = leaders;
@@ -264,8 +264,8 @@
     /// Returns when the last heartbeat came from a leader that required this instance to receive its
     /// heartbeats; `None` if it did not.
     fn mutual_contact_until(&self, old: &LeaderView) -> Option<CoreTime> {
-        // On a large site, a leader requires this of preferred members only: the others hear from it too
-        // rarely.
+        // On a large site, a leader requires this of preferred members only: the others receive its
+        // heartbeats too rarely.
         let is_required = !self.is_large_site() || self.preferred.contains(&self.settings.address);
         let peer = self.peers.get(&old.address).filter(|_| is_required)?;
         let is_recent = |at: &CoreTime| self.age(*at) < RELIED_CONTACT_AGE;
--- a/crates/bankvalve_queue/src/core/handover.rs
+++ b/crates/bankvalve_queue/src/core/handover.rs
@@ -70,8 +70,8 @@
             .unanswered_since
             .map_or(Duration::ZERO, |at| now.saturating_sub(at.max(last_answer)));
         let refused = lead.unavailable_since.is_some();
-        let usual = self.store_timeouts.usual_latency();
-        let unresponsive = unanswered > TROUBLE_AFTER.max(usual * TROUBLE_LATENCY_FACTOR);
+        let usual_latency = self.store_timeouts.usual_latency();
+        let unresponsive = unanswered > TROUBLE_AFTER.max(usual_latency * TROUBLE_LATENCY_FACTOR);
         if !refused && !unresponsive {
             lead.trouble_since = None;
         } else if (refused || unresponsive) && lead.trouble_since.is_none() {
@@ -88,7 +88,7 @@
         let trouble = lead.trouble_since;
         let slow_start = !lead.loaded && now.saturating_sub(lead.began_at) > LEDGER_READ_LIMIT;
         if slow_start && !stop_due {
-            self.hand_over_to_fuller_book();
+            self.hand_over_to_more_complete_book();
             // Below, a peer may also qualify because the table answers it and not this leader.
             if self.lead.is_none() || trouble.is_none() {
                 return;
@@ -122,7 +122,7 @@
     }
 
     /// Hands leadership over to a peer that has more of the ledger, if reading it takes too long here.
-    fn hand_over_to_fuller_book(&mut self) {
+    fn hand_over_to_more_complete_book(&mut self) {
         let local_batches = self.applied;
         let qualifies = |peer: &PeerView| {
             let ahead = peer.heartbeat.applied > local_batches + MAX_BATCHES_IN_FLIGHT;
@@ -138,7 +138,7 @@
             return;
         };
         let settled = lead.loaded && self.age(lead.began_at) > MIN_LEADERSHIP;
-        if !settled || lead.flight.is_some() {
+        if !settled || lead.in_flight_commit.is_some() {
             return;
         }
         let epoch = lead.epoch;
--- a/crates/bankvalve_queue/src/core/hubs.rs
+++ b/crates/bankvalve_queue/src/core/hubs.rs
@@ -15,8 +15,8 @@
 use crate::caller::CallerRequest;
 use crate::peer::{PeerAddress, PeerMessage};
 
-/// Number of members from which messages go through hubs. On smaller sites, the leader can handle each
-/// message by itself.
+/// Minimum number of members of a large site, where messages go through hubs. On smaller sites, the leader
+/// can handle each message by itself.
 pub(super) const LARGE_SITE_MEMBERS: usize = 64;
 /// Maximum time since the last heartbeat of a hub: more than two heartbeat intervals of other members.
 const HUB_CONTACT_TIMEOUT: Duration = Duration::from_millis(900);
@@ -26,7 +26,7 @@
 
 /// Returns the weight of a pair for rendezvous hashing: of several candidates, the one with the
 /// greatest weight is chosen. The choice is stable while that candidate is available, and the loss of a
-/// candidate moves only the choices that fell on it.
+/// candidate changes the choice only where that candidate was chosen.
 pub(super) fn choice_weight(first: impl Hash, second: impl Hash) -> u64 {
     let mut hasher = DefaultHasher::new();
     (first, second).hash(&mut hasher);
--- a/crates/bankvalve_queue/src/core/incarnation.rs
+++ b/crates/bankvalve_queue/src/core/incarnation.rs
@@ -95,7 +95,7 @@
             (state.last_end_seen, state.last_end_committed) =
                 (before.last_end_seen, before.last_end_committed);
         }
-        // A deadline by the old clock may be far in the future on the new one: the worker limits it to this.
+        // A deadline by the old clock may be far in the future on the new one. The worker limits it to this.
         let max_lease = clock_ms.map(|clock| clock + hold_limit.as_millis() as u64);
         state.lease_until = match own_clock {
             true => max_lease.unwrap_or(0),
@@ -134,7 +134,7 @@
             if reported.contains(&(*task, live.run)) {
                 return Some((*task, live.clone()));
             }
-            let how = || self.end_with_worker(state, &loss, task, live);
+            let how = || self.end_kind_with_worker(state, &loss, task, live);
             if live.may_arrive_late() {
                 return Some((*task, live.clone().stopped_after(how(), now)));
             }
--- a/crates/bankvalve_queue/src/core/lead_confirmation.rs
+++ b/crates/bankvalve_queue/src/core/lead_confirmation.rs
@@ -57,7 +57,7 @@
             return;
         }
         lead.confirmed_at = lead.confirmed_at.max(read_sent_at);
-        if lead.flight.is_none() {
+        if lead.in_flight_commit.is_none() {
             lead.unavailable_since = None;
         }
         if !lead.loaded {
--- a/crates/bankvalve_queue/src/core/lead_state.rs
+++ b/crates/bankvalve_queue/src/core/lead_state.rs
@@ -37,8 +37,8 @@
 /// usable while the table is slow.
 const MAX_TIME_TO_COMMIT: Duration = Duration::from_millis(900);
 
-/// Gap between two events after which another instance may lead. It is shorter than the silence after
-/// which the first-ranked member claims the leadership.
+/// Gap between two events after which another instance may lead. It is shorter than the time without contact
+/// after which the first-ranked member claims leadership.
 const FREEZE_THRESHOLD: Duration = Duration::from_millis(600);
 
 /// How long the duration of an answered write counts as a measurement of this instance's link.
@@ -58,7 +58,7 @@
 const MIN_ANSWER_LIMIT: Duration = Duration::from_millis(80);
 
 /// Share of missed answers, in thousandths, above which answers count as late instead of lost. The
-/// platform loses a few answers out of ten, seldom four.
+/// platform loses a few answers out of ten, rarely four.
 const MOSTLY_MISSED_PERMILLE: u32 = 650;
 /// Number of answers over which the share of missed answers is averaged.
 const MISS_WINDOW: u32 = 24;
@@ -96,7 +96,8 @@
     pub(super) limit: CoreTime,
 }
 
-/// A request about an unknown job, held until this instance has confirmed that it leads.
+/// A request that is answered once this instance has confirmed that it leads: one about an unknown job, or a
+/// status request for an open job while another instance may lead.
 #[derive(Debug)]
 pub(super) struct UnconfirmedRequest {
     pub(super) at: CoreTime,
@@ -125,14 +126,17 @@
     pub(super) unanswered_since: Option<CoreTime>,
     /// Since when the heartbeats have reported that the table does not answer.
     pub(super) trouble_since: Option<CoreTime>,
+    /// When the pending read of this leader's row was sent.
     pub(super) confirming: Option<CoreTime>,
     pub(super) next_confirm: CoreTime,
     /// Since when the table has refused all writes, with none in flight.
     pub(super) unavailable_since: Option<CoreTime>,
     pub(super) requests_awaiting_confirmation: Vec<UnconfirmedRequest>,
+    /// Number of the last committed batch.
     pub(super) sequence: u64,
+    /// Proposals that wait for the next write.
     pub(super) pending: VecDeque<Proposal>,
-    pub(super) flight: Option<InFlightCommit>,
+    pub(super) in_flight_commit: Option<InFlightCommit>,
     pub(super) next_commit_at: CoreTime,
     /// Moving average of the time that a write takes.
     pub(super) commit_time: Duration,
@@ -140,6 +144,7 @@
     last_commit: Option<(Duration, CoreTime)>,
     /// Moving average of the time from the proposal of a start to its order.
     order_delay: Duration,
+    /// Number of uncommitted events of each job that has any.
     pub(super) uncommitted: BTreeMap<JobId, u32>,
     /// Open jobs for which a worker has reported that a task started.
     pub(super) started_jobs: BTreeSet<JobId>,
@@ -175,12 +180,14 @@
     /// Moving average of the share of missed answers, in thousandths.
     missed_permille: u32,
     pub(super) waiting: BTreeMap<StepKey, WaitingStep>,
-    /// What each customer has running, as of the last placement.
+    /// What each customer has running, as of the last placement pass.
     pub(super) usage: CustomerUsage,
-    /// Steps that waited for their customer's limit at the last placement.
+    /// Steps that waited for their customer's limit at the last placement pass.
     pub(super) waiting_for_limit: BTreeMap<StepKey, LimitStatus>,
     pub(super) shares: CustomerShares,
+    /// Jobs that have changed since their waiting steps were last updated.
     pub(super) dirty_jobs: BTreeSet<JobId>,
+    /// Next repetition of each repeating job, by the time at which it is due.
     pub(super) due: BTreeSet<(WallMillis, JobId, u32)>,
     pub(super) advice: BTreeMap<StepKey, StepAdvice>,
     /// Steps of open jobs with long-running tasks, gangs excluded.
@@ -190,8 +197,9 @@
     pub(super) next_restart_preparation: CoreTime,
     /// Moving average, by queue, of the logarithm of measured to estimated run time.
     pub(super) estimate_error: BTreeMap<String, f64>,
+    /// When each adviser is expected to have answered all its advice requests.
     pub(super) adviser_busy: BTreeMap<PeerAddress, CoreTime>,
-    /// Whether free capacity, permits or waiting steps have changed since the last placement.
+    /// Whether free capacity, permits or waiting steps have changed since the last placement pass.
     pub(super) placement_due: bool,
     pub(super) next_placement: CoreTime,
     /// When to scan all workers again for due polls and due orders.
@@ -228,7 +236,7 @@
             requests_awaiting_confirmation: Vec::new(),
             sequence: 0,
             pending: VecDeque::new(),
-            flight: None,
+            in_flight_commit: None,
             next_commit_at: now,
             commit_time: Duration::ZERO,
             last_commit: None,
@@ -323,7 +331,7 @@
 
     /// Returns whether there are events to commit or tasks to place soon.
     pub(super) fn is_busy(&self) -> bool {
-        self.placement_due || (self.flight.is_none() && !self.pending.is_empty())
+        self.placement_due || (self.in_flight_commit.is_none() && !self.pending.is_empty())
     }
 
     /// Records that the table has answered a request.
--- a/crates/bankvalve_queue/src/core/leader_absence.rs
+++ b/crates/bankvalve_queue/src/core/leader_absence.rs
@@ -6,8 +6,8 @@
 use super::EntryCore;
 use crate::ids::CoreTime;
 
-/// Interval between two log lines about a leader that is missing or reads the ledger. About fifteen of
-/// each cover an entire recovery.
+/// Interval between two log lines about a leader that is missing or reads the ledger. About fifteen lines of
+/// each kind cover an entire recovery.
 const LOG_INTERVAL: Duration = Duration::from_secs(1);
 
 /// The current period without a working leader, if there is one.
@@ -18,7 +18,7 @@
 }
 
 impl EntryCore {
-    /// Logs at most once a second that no leader works, and what this instance waits for.
+    /// Logs at most once a second that there is no working leader, and what this instance waits for.
     pub(super) fn log_leader_gap(&mut self) {
         let loaded = self.lead.as_deref().map(|lead| lead.loaded);
         let works = loaded.unwrap_or_else(|| self.has_leader_contact());
@@ -74,8 +74,8 @@
     /// Describes what this instance waits for until there is a leader.
     fn waiting_reason(&self) -> String {
         let table = match self.store_last_contact {
-            Some(at) => format!("table heard {:?} ago", self.age(at)),
-            None => "table never heard".to_owned(),
+            Some(at) => format!("table answered {:?} ago", self.age(at)),
+            None => "table never answered".to_owned(),
         };
         let step = if self.stopping {
             "stopping".to_owned()
--- a/crates/bankvalve_queue/src/core/lease_renewal.rs
+++ b/crates/bankvalve_queue/src/core/lease_renewal.rs
@@ -1,4 +1,8 @@
 //! Lease renewal: polls of workers, which renew their leases and return their run lists.
+//!
+//! A worker keeps its runs until its lease expires by its own clock. Each poll may renew the lease, and its
+//! answer lists the runs that are running and those that have ended. Once the lease of an unresponsive worker
+//! is known to have expired, the worker is declared lost and its tasks can start elsewhere.
 
 use std::time::Duration;
 
@@ -23,10 +27,11 @@
 /// Longest time for which a worker waits for the end of a run before it answers a poll.
 const POLL_WAIT: Duration = Duration::from_millis(900);
 /// Longest such wait of a worker with urgent runs. The leader notices a lost answer only after the wait, and
-/// a short lookup takes about as long.
+/// a short urgent task takes about as long.
 const URGENT_POLL_WAIT: Duration = Duration::from_millis(350);
-/// Longest such wait of a worker with an isolated suspect. How soon after the start the worker ends shows
-/// whether the task crashes its workers or was there by chance. Trials are few and short.
+/// Longest such wait of a worker with an isolated suspect. The time from the start to the worker's end shows
+/// whether the task crashes its workers or was there by chance, so it must be known precisely. Trial runs are
+/// few and short.
 const TRIAL_POLL_WAIT: Duration = Duration::from_millis(50);
 /// Longest time allowed for the round trip of a poll and a slow worker, beyond the wait.
 const POLL_SLACK: Duration = Duration::from_millis(600);
@@ -56,19 +61,20 @@
 /// the cause is the leader's own link or CPU. Polling all of them repeatedly, each on a new connection, would
 /// prolong that.
 const UNRESPONSIVE_POLL_DIVISOR: usize = 16;
-/// Time without contact for which the leader waits for a worker that keeps its own entry in the table. It is
-/// running, and its run lists will show which of its runs succeeded. Their tasks start elsewhere some
-/// seconds later than its lease would allow, instead of running to completion twice.
+/// Time without contact for which the leader waits for a worker whose entry still exists in the table. Such a
+/// worker probably runs, and its run lists will show which of its runs succeeded. Because of the wait, their
+/// tasks start elsewhere some seconds later than the lease would allow, but do not run to completion twice.
 const LISTED_TIMEOUT: Duration = Duration::from_millis(10_000);
-/// That time while many workers are unresponsive at once, usually because of a fault of the leader itself.
+/// The same time while many workers are unresponsive at once, usually because of a fault of the leader
+/// itself.
 const MASS_LISTED_TIMEOUT: Duration = Duration::from_millis(30_000);
 /// Many workers count as unresponsive if one in this many of those with runs is.
 const MANY_UNRESPONSIVE_DIVISOR: usize = 4;
 /// Smallest number of unresponsive workers with runs that counts as many.
 const MIN_MANY_UNRESPONSIVE: usize = 3;
 /// Time since the last contact within which a worker's lease is renewed. It allows one more renewal after a
-/// poll whose answer is lost (1.5 s). A lost worker's tasks start again no sooner than this time and a lease
-/// after the last contact.
+/// poll whose answer is lost (1.5 s). A lost worker's tasks start again no sooner than this time plus the
+/// lease after the last contact.
 pub(super) const RENEW_WITHIN: Duration = Duration::from_millis(1_600);
 /// Longest time for which a leader sends calls to workers without confirmation of its leadership.
 pub(super) const UNCONFIRMED_LIMIT: Duration = Duration::from_secs(15);
@@ -105,8 +111,9 @@
         };
         let mut due = Vec::new();
         // A worker's answer may be queued behind the event that is being handled.
-        let seen = now.saturating_sub(self.lag);
-        let is_unresponsive = |state: &WorkerState| !state.has_contact(seen, UNRESPONSIVE_AFTER);
+        let event_time = now.saturating_sub(self.lag);
+        let is_unresponsive =
+            |state: &WorkerState| !state.has_contact(event_time, UNRESPONSIVE_AFTER);
         let (mut first_polls, mut unresponsive_polls) = (0, 0);
         for state in lead
             .worker_states
@@ -122,7 +129,7 @@
         for (id, state) in lead.worker_states.iter() {
             let recorded = self.stopped_leases.unresponsive_since(id);
             let known_at = recorded.unwrap_or(state.known_at).min(state.known_at);
-            let without_contact = seen.saturating_sub(state.last_contact.unwrap_or(known_at));
+            let without_contact = event_time.saturating_sub(state.last_contact.unwrap_or(known_at));
             let unresponsive = is_unresponsive(state);
             if !state.runs.is_empty() && unresponsive && self.all_runs_ended(id, state) {
                 expired.push((id.clone(), state.listed, without_contact));
@@ -157,7 +164,7 @@
         for id in due {
             self.poll_worker(&id);
         }
-        self.stop_silent_leases();
+        self.stop_lease_renewals();
         for (id, ..) in expired {
             self.declare_worker_lost(&id, ProcessEnd::LeaseExpired);
         }
@@ -194,10 +201,11 @@
     }
 
     /// Ends those runs on a worker with an expired lease for which its run lists will report no success,
-    /// while the leader still waits for the worker: their tasks would wait for nothing. If an order did
+    /// while the leader still waits for the worker. Their tasks gain nothing from the wait. If an order did
     /// arrive, a success that is reported later still counts.
     ///
-    /// The worker's entry still exists, so nothing shows that the worker has ended.
+    /// The runs end as lost, not as crashed: the worker's entry still exists, so nothing shows that the
+    /// worker has ended.
     fn end_runs_without_result(&mut self, id: &WorkerId) {
         let now = self.now;
         let lead = self.lead.as_deref();
@@ -376,7 +384,7 @@
             self.read_leader_row();
             return;
         }
-        // An answer of a process that another one has replaced is of no use.
+        // Answers of a process that another one has replaced are ignored.
         let Some(state) = lead.worker_states.get_incarnation_mut(&open.worker) else {
             return;
         };
--- a/crates/bankvalve_queue/src/core/load_limit.rs
+++ b/crates/bankvalve_queue/src/core/load_limit.rs
@@ -22,7 +22,7 @@
 /// Percentage points by which the share is raised.
 const RAISE_POINTS: u32 = 3;
 /// Time for which a leader keeps saving link capacity after it last refused a share of jobs. Otherwise
-/// it would spend the savings at once, and the limit would return.
+/// the link would be full again at once, and the leader would have to refuse jobs again.
 const LIMITED_RECENTLY: Duration = Duration::from_secs(10);
 /// Minimum share, in percent. It lets a leader notice that it can accept more again.
 const MIN_PERCENT: u32 = 3;
--- a/crates/bankvalve_queue/src/core/log_budget.rs
+++ b/crates/bankvalve_queue/src/core/log_budget.rs
@@ -8,10 +8,10 @@
 use crate::decision::DecisionLine;
 use crate::ids::CoreTime;
 
-/// Maximum number of lines of one kind per [`SPAN`].
+/// Maximum number of lines of one kind per [`COUNT_INTERVAL`].
 const MAX_LINES: u32 = 400;
-/// Time over which lines are counted.
-const SPAN: Duration = Duration::from_secs(1);
+/// Interval over which lines are counted.
+const COUNT_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Counts the lines of each kind, so that no text is formatted for lines that are dropped.
 #[derive(Debug, Default)]
@@ -29,7 +29,7 @@
         part: &'static str,
         event: &'static str,
     ) -> bool {
-        if now.saturating_sub(self.since) >= SPAN {
+        if now.saturating_sub(self.since) >= COUNT_INTERVAL {
             self.since = now;
             self.counts.clear();
         }
--- a/crates/bankvalve_queue/src/core/lost_contact.rs
+++ b/crates/bankvalve_queue/src/core/lost_contact.rs
@@ -76,8 +76,7 @@
 /// Why a run on a worker that is out of contact is assumed to be running.
 struct AssumedRun {
     reason: WaitReason,
-    /// Time from which on the run is no longer assumed to be running, even without contact; `None` if that is
-    /// not known.
+    /// When the run stops being assumed to be running, even without contact; `None` if that is not known.
     until: Option<CoreTime>,
 }
 
@@ -279,8 +278,8 @@
         }
     }
 
-    /// Returns tasks that wait for workers that are out of contact, and when the wait ends even without
-    /// contact.
+    /// Returns the tasks that wait for workers that are out of contact, each with the time at which its wait
+    /// ends even without contact.
     fn find_lost_contact(
         &self,
         lead: &LeadState,
@@ -299,7 +298,8 @@
                     continue;
                 }
                 let assumed = self.assumed_run(id, state, live, timeout);
-                // The run is about to be declared lost: its log line names the reason waited for until now.
+                // The run is about to be declared lost. The log line on its end names the reason for the wait
+                // so far, so that reason is kept.
                 let before = lead.wait_tracker.lost_contact.get(task);
                 let expired = assumed.until.is_some_and(|until| until <= now);
                 let ends = expired && assumed.reason != WaitReason::Unconfirmed;
@@ -325,13 +325,13 @@
             return None;
         }
         let began = lead.wait_tracker.first_scan.unwrap_or(self.now);
-        let (since, usual) = match state.last_contact {
+        let (since, max_gap) = match state.last_contact {
             Some(at) => (at, UNRESPONSIVE_AFTER.max(state.poll_wait + ANSWER_SLACK)),
             None => (began.max(state.known_at), FIRST_ANSWER_TIMEOUT),
         };
         // A worker's answer may be queued behind the event that is being handled.
-        let seen = self.now.saturating_sub(self.lag);
-        (seen.saturating_sub(since) >= usual).then_some(since)
+        let event_time = self.now.saturating_sub(self.lag);
+        (event_time.saturating_sub(since) >= max_gap).then_some(since)
     }
 
     /// Returns whether a task of an open job waits for the end of a run.
--- a/crates/bankvalve_queue/src/core/members.rs
+++ b/crates/bankvalve_queue/src/core/members.rs
@@ -99,7 +99,7 @@
         peer.strength = row.map_or(peer.strength, |row| row.strength);
     }
 
-    /// Sends the heartbeats that are due, and gives their round-trip time to the load limit.
+    /// Sends the heartbeats that are due, and updates the load limit with their round-trip time.
     pub(super) fn run_heartbeats(&mut self) {
         if self.now < self.next_heartbeat {
             return;
@@ -243,8 +243,8 @@
     /// Updates the last contact with the leader from the report of a preferred member on a large
     /// site.
     ///
-    /// Only other members do so. Preferred members are in contact with the leader themselves, and
-    /// their reports must not come back to them.
+    /// Only members that are not preferred use these reports. Preferred members are in contact with the
+    /// leader themselves, and must not rely on reports that are based on their own.
     fn update_leader_contact(&mut self, from: PeerAddress, heartbeat: &HeartbeatBody) {
         if !self.is_behind_hubs() || !self.preferred.contains(&from) || heartbeat.leading {
             return;
@@ -277,7 +277,7 @@
         } else {
             "no answer or no connection in time"
         };
-        // Logged only while the peer counts as alive: messages to a lost one are tried for a minute.
+        // Logged only while the peer counts as alive, because messages are sent to a lost peer for a minute.
         let is_live = |view: &PeerView| view.is_live(self.now);
         if self.peers.get(&peer).is_some_and(is_live) {
             self.log("members", "unreached", peer.to_string(), why.to_owned());
--- a/crates/bankvalve_queue/src/core/mod.rs
+++ b/crates/bankvalve_queue/src/core/mod.rs
@@ -1,8 +1,26 @@
 //! The state machine of an entry instance.
 //!
+//! Terms:
+//!
+//! - The *table* is the platform's key-value store (`store` in names). The *configuration* is what the
+//!   operator writes there (`table` in names, from its type `QueueTable`).
+//! - The *ledger* is the sequence of events that the leader commits to the table, in batches. An instance's
+//!   *book* is the state of all jobs, built from these events.
+//! - A *member* is an instance with a row in the table; to an instance, the other members are its *peers*.
+//!   *Preferred members* are the few with the most CPU.
+//! - A *run* is one attempt at a task on a worker. A worker's *entry* is its own row in the table, and its
+//!   *run lists* are what it reports about its runs.
+//! - A *lease* lets a worker keep its runs until a time on the worker's clock. The leader renews it by
+//!   polling the worker.
+//!
+//! Modules:
+//!
+//! - State: `entry_core` has the state of an instance and dispatches events, `lead_state` has what only a
+//!   leader needs. `worker_state` and `live_run` contain what a leader knows about a worker and a run.
 //! - Membership and leadership: `members` handles heartbeats, `member_ranks` ranks the members, `election`
 //!   and `handover` decide who leads, `former_leaders` and `stopped_leases` bound how long leases of former
-//!   leaders can last, and `readiness` reports whether the instance is ready.
+//!   leaders can last, and `readiness` reports whether the instance is ready. `hubs` relays messages on large
+//!   sites.
 //! - Ledger: `commit`, `read_back`, `lead_confirmation` and `job_withdrawal` write it; `follower` keeps a
 //!   follower's book up to date.
 //! - Callers: `callers` answers requests, `follower_reads` answers status requests from a follower's book,
@@ -10,10 +28,11 @@
 //!   `customer_limits` what it may have running, and `customer_shares` which jobs start after those of other
 //!   customers.
 //! - Workers: `lease_renewal`, `worker_reports`, `orders` and `overdue_runs` poll workers and start and stop
-//!   runs. `incarnation` tells the processes of a worker apart.
+//!   runs. `incarnation` distinguishes the processes of a worker, and `call_proxies` has standbys send calls.
 //! - Placement: `placement` decides which task runs on which worker, `advice` queries the policy service, and
-//!   `capacity_reclaim` preempts runs. `restart_preparation` reserves capacity and permits for long-running
-//!   tasks. `lost_contact` and `restart_waits` report why tasks are not running.
+//!   `capacity_reclaim` preempts runs. `suspects` isolates tasks under which workers ended.
+//!   `restart_preparation` reserves capacity and gets permits for long-running tasks. `lost_contact` and
+//!   `restart_waits` report why tasks are not running.
 //! - Configuration: `table_watch` and `table_pull` fetch the operator's configuration, and `denials` handles
 //!   requests that it denies.
 
--- a/crates/bankvalve_queue/src/core/orders.rs
+++ b/crates/bankvalve_queue/src/core/orders.rs
@@ -150,7 +150,7 @@
     /// Returns whether a start, also a repeated one, fits the current capacity of its worker. The capacity
     /// may shrink while the start is committed, which takes seconds if the table is slow or unavailable.
     ///
-    /// A start that does not fit is canceled, or stopped if its order may be in flight. While the worker's
+    /// A start that does not fit is cancelled, or stopped if its order may be in flight. While the worker's
     /// current entry is unknown, the start waits.
     fn has_capacity_now(&mut self, id: &WorkerId, task: TaskKey) -> bool {
         if !self.enforces(SiteGuard::RoomOfNow) {
@@ -174,7 +174,7 @@
             lead.schedule_order(now + STALE_ENTRY_DELAY, id, task);
             return false;
         }
-        // A suspect is booked with the whole worker, but takes no more than its step's resources.
+        // An isolated suspect counts as taking the whole worker, but it uses only its step's resources.
         let used = state.used.minus(&live.resources).plus(&wanted);
         if used.fits(&state.entry.room) {
             return true;
--- a/crates/bankvalve_queue/src/core/overdue_runs.rs
+++ b/crates/bankvalve_queue/src/core/overdue_runs.rs
@@ -15,7 +15,7 @@
 use crate::worker::RunReport;
 
 /// Minimum time without progress after which a run counts as stalled. Even a slow worker advances a short
-/// lookup by some percent in it.
+/// urgent task by some percent in it.
 const MIN_STALL_TIME: Duration = Duration::from_millis(400);
 /// Time without progress after which a run counts as stalled, in percent of its expected run time.
 const STALL_PERCENT: u32 = 15;
@@ -23,7 +23,7 @@
 const MIN_PACE_TIME: Duration = Duration::from_millis(300);
 /// Factor over its expected run time above which a run is slow. Estimates are off by up to a factor of two.
 const SLOW_FACTOR: u32 = 3;
-/// Time to stop a run and to start its task elsewhere until its work begins.
+/// Time from the order to stop a run until its task works again elsewhere.
 const RESTART_TIME: Duration = Duration::from_millis(500);
 /// Factor by which the remaining time of a slow run must exceed the time of a start elsewhere.
 const MIN_GAIN_FACTOR: u32 = 2;
@@ -31,7 +31,7 @@
 const OVERDUE_BACKOFF: Duration = Duration::from_millis(2_500);
 /// Maximum number of times that a task is stopped as overdue, so that it does not move between workers
 /// forever.
-const MAX_MOVES: u32 = 2;
+const MAX_OVERDUE_STOPS: u32 = 2;
 
 /// Progress of a run, as its worker's run lists report it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -122,7 +122,7 @@
             let Some(lead) = self.lead.as_deref_mut() else {
                 return;
             };
-            let moves = lead.overdue_stops.get(&report.task).copied().unwrap_or(0);
+            let overdue_stops = lead.overdue_stops.get(&report.task).copied().unwrap_or(0);
             let live = lead.live_run(id, &report.task);
             let Some(live) = live.filter(|live| live.run == report.run) else {
                 continue;
@@ -130,7 +130,7 @@
             let progress = RunProgress::updated(live.progress, report.percent, requested_at, now);
             live.progress = Some(progress);
             // Each start of a suspect may end another worker, and a suspect gets few starts.
-            if moves >= MAX_MOVES || is_suspect || !may_move(live) {
+            if overdue_stops >= MAX_OVERDUE_STOPS || is_suspect || !may_move(live) {
                 continue;
             }
             if let Some(reason) = progress.overdue_reason(live.began, expected) {
--- a/crates/bankvalve_queue/src/core/placement.rs
+++ b/crates/bankvalve_queue/src/core/placement.rs
@@ -70,8 +70,8 @@
     apart_from_new: Vec<TaskKey>,
     /// Workers that ended under the isolated suspects. Another end of the same worker would add no evidence.
     pub(super) crashed_workers: Vec<WorkerId>,
-    /// Whether a long-running task among them is past its restart deadline, so that workers in back-off are
-    /// eligible too.
+    /// Whether one of the tasks is long-running and past its restart deadline, so that workers in back-off
+    /// are eligible too.
     pub(super) past_deadline: bool,
 }
 
@@ -126,6 +126,7 @@
 }
 
 impl EntryCore {
+    /// Runs a placement pass if one is due.
     pub(super) fn run_placement(&mut self) {
         let now = self.now;
         let by_time = self.uses(PolicySwitch::LatestStart);
@@ -212,7 +213,8 @@
         (!step.tasks.is_empty()).then_some(step)
     }
 
-    /// Prepares tasks of a step for a start beside any other runs, whether the tasks wait yet or not.
+    /// Returns a step with only these tasks, which may still be running. They may start beside any other
+    /// runs.
     pub(super) fn step_to_restart(&self, key: StepKey, tasks: Vec<TaskKey>) -> Option<StepToPlace> {
         self.new_step_to_place(key, (tasks, Vec::new(), Vec::new()))
     }
@@ -394,9 +396,9 @@
         let placed: Vec<TaskKey> = assignment.iter().map(|(task, _)| *task).collect();
         self.start_assignment(step, assignment);
         let needs_capacity = can_request && request.is_empty();
-        // It could take long until enough capacity for a gang becomes free by chance, however many workers it
-        // asks about. So capacity is first reclaimed on the workers that may run it, if there are enough of
-        // them.
+        // A gang may wait long until enough capacity happens to be free, however many workers may run it. So
+        // its capacity is first reclaimed on the workers that are known to be allowed. Advice about further
+        // workers is requested only if that does not succeed.
         if is_complete || (needs_capacity && (unasked.is_empty() || step.spec.gang)) {
             self.update_capacity_claim(step, placed.len());
         }
@@ -493,7 +495,7 @@
                 .get(&step.key)
                 .and_then(|advice| advice.permit(&worker, now))
                 .map(str::to_owned);
-            let trial = lead.worker_states.incarnation_of(&worker);
+            let incarnation = lead.worker_states.incarnation_of(&worker);
             let Some(state) = lead.worker_states.get_mut(&worker) else {
                 continue;
             };
@@ -505,7 +507,8 @@
             if step.isolated.contains(&task) || step.apart_from_new.contains(&task) {
                 live.on_trial = true;
                 live.resources = state.entry.room.minus(&state.used);
-                lead.trials.extend(trial.map(|trial| (task, trial)));
+                lead.trials
+                    .extend(incarnation.map(|incarnation| (task, incarnation)));
             }
             state.add_run(task, live);
             let left = state.entry.room.minus(&state.used).millicores;
--- a/crates/bankvalve_queue/src/core/read_back.rs
+++ b/crates/bankvalve_queue/src/core/read_back.rs
@@ -36,7 +36,7 @@
 impl EntryCore {
     /// Returns the in-flight write.
     fn in_flight_commit(&mut self) -> Option<&mut InFlightCommit> {
-        self.lead.as_deref_mut()?.flight.as_mut()
+        self.lead.as_deref_mut()?.in_flight_commit.as_mut()
     }
 
     /// Sends the in-flight write again, reads it back, or withdraws its jobs, whichever is due.
@@ -44,24 +44,24 @@
         let now = self.now;
         let unavailable = self.store_is_unavailable();
         let read_back = self.uses(PolicySwitch::ReadBack);
-        let Some(flight) = self.in_flight_commit() else {
+        let Some(commit) = self.in_flight_commit() else {
             return;
         };
-        if flight.copies == 0 {
-            if now >= flight.next_at {
+        if commit.copies == 0 {
+            if now >= commit.next_at {
                 self.send_copy();
             }
             return;
         }
-        if unavailable && !flight.uncertain {
-            flight.uncertain = true;
+        if unavailable && !commit.uncertain {
+            commit.uncertain = true;
             self.withdraw_uncommitted();
             return;
         }
-        if !flight.checking && now >= flight.check_at {
+        if !commit.checking && now >= commit.check_at {
             if read_back {
                 self.check_commit();
-            } else if flight.copies < MAX_COPIES {
+            } else if commit.copies < MAX_COPIES {
                 self.send_copy();
             }
         }
@@ -70,11 +70,11 @@
     /// Reads the row of the first batch in flight to find out whether the write was applied.
     fn check_commit(&mut self) {
         let now = self.now;
-        let Some(flight) = self.in_flight_commit() else {
+        let Some(commit) = self.in_flight_commit() else {
             return;
         };
-        flight.checking = true;
-        let sequence = flight.sequence;
+        commit.checking = true;
+        let sequence = commit.sequence;
         let request = StoreRequest::Read {
             table: LEDGER_TABLE.to_owned(),
             part: LEAD_PART.to_owned(),
@@ -99,20 +99,20 @@
         let Some(lead) = self.lead.as_deref_mut() else {
             return;
         };
-        let is_current = |flight: &&mut InFlightCommit| flight.sequence == sequence;
-        let Some(flight) = lead.flight.as_mut().filter(is_current) else {
+        let is_current = |commit: &&mut InFlightCommit| commit.sequence == sequence;
+        let Some(commit) = lead.in_flight_commit.as_mut().filter(is_current) else {
             return;
         };
-        flight.checking = false;
-        flight.check_at = now + MIN_CHECK_DELAY;
+        commit.checking = false;
+        commit.check_at = now + MIN_CHECK_DELAY;
         let StoreOutcome::Rows { rows, .. } = outcome else {
             return;
         };
         lead.unanswered_since = None;
         let key = batch_row(sequence);
         match rows.iter().find(|row| row.key == key) {
-            Some(row) if row.value == flight.rows[0] => {
-                let begun_at = flight.since;
+            Some(row) if row.value == commit.rows[0] => {
+                let begun_at = commit.since;
                 self.log("ledger", "read_back", sequence.to_string(), "done".into());
                 self.finish_commit(begun_at);
             }
@@ -122,9 +122,9 @@
             }
             None => {
                 let took = now.saturating_sub(sent_at);
-                let age = now.saturating_sub(flight.sent_at);
+                let age = now.saturating_sub(commit.sent_at);
                 let lost = age > MIN_LOST_AGE.max(took * LOST_AGE_FACTOR);
-                if lost && flight.copies < MAX_COPIES {
+                if lost && commit.copies < MAX_COPIES {
                     let detail = format!("not applied after {age:?}, the read took {took:?}");
                     self.log("ledger", "copy", sequence.to_string(), detail);
                     self.send_copy();
@@ -140,10 +140,10 @@
             return;
         };
         let pause = lead.commit_check_delay();
-        if let Some(flight) = lead.flight.as_mut() {
-            flight.copies += 1;
-            flight.sent_at = now;
-            flight.check_at = now + pause;
+        if let Some(commit) = lead.in_flight_commit.as_mut() {
+            commit.copies += 1;
+            commit.sent_at = now;
+            commit.check_at = now + pause;
             self.send_commit();
         }
     }
--- a/crates/bankvalve_queue/src/core/readiness.rs
+++ b/crates/bankvalve_queue/src/core/readiness.rs
@@ -90,7 +90,7 @@
                 let age = self.age(leader.last_contact);
                 let gone = if leader.gone { ", gone" } else { "" };
                 format!(
-                    "leader {} of epoch {} heard {age:?} ago{gone}",
+                    "leader {} of epoch {}, last contact {age:?} ago{gone}",
                     leader.address, leader.epoch
                 )
             }
--- a/crates/bankvalve_queue/src/core/restart_deadline.rs
+++ b/crates/bankvalve_queue/src/core/restart_deadline.rs
@@ -15,8 +15,8 @@
 use crate::job::StepSpec;
 use crate::ledger::{EndKind, TaskRecord};
 
-/// Longest time for which a long-running task may be down: the users allow six seconds from its last run
-/// on, and three more in which none of it runs.
+/// Longest time for which a long-running task may be down: the users allow six seconds after its last run,
+/// and three more during which it does not run at all.
 const MAX_DOWNTIME: Duration = Duration::from_secs(9);
 /// Time reserved for a start, from the decision until the worker runs the task. It takes 0.3 to 0.7 s: up
 /// to 0.25 s until waiting steps are evaluated again, two messages to the worker, and a write.
--- a/crates/bankvalve_queue/src/core/restart_preparation.rs
+++ b/crates/bankvalve_queue/src/core/restart_preparation.rs
@@ -1,12 +1,13 @@
 //! Preparation of permits and capacity for long-running tasks that are down or soon will be.
 //!
-//! Such a task may be down for nine seconds in total, and the lease of its last worker takes most of them.
-//! The rest is too short for the steps of a start one after the other: to ask the policy service about
-//! workers, to find capacity on an allowed one while many short tasks compete for it, and to renew its
-//! permit. So the leader requests advice as soon as a worker that runs such a task stops responding, about
-//! many workers at once, whether they have free capacity or not. Shortly before the run can be declared
-//! lost, it reserves capacity on allowed workers and gets permits for them that are valid until the start.
-//! None of this needs the table. Reservations are renewed until the start is decided.
+//! Such a task may be down for nine seconds in total. Most of this time passes until the lease of its last
+//! worker has expired. What is left is too short for taking the steps of a start one after the other:
+//! requesting advice about workers from the policy service, finding capacity on an allowed worker while many
+//! short tasks compete for it, and renewing the permit. So the leader requests advice as soon as a worker
+//! that runs such a task stops responding, about many workers at once, whether they have free capacity or
+//! not. Shortly before the run can be declared lost, it reserves capacity on allowed workers and gets permits
+//! for them that are valid until the start. None of this needs the table. Reservations are renewed until the
+//! start is decided.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -27,8 +28,8 @@
 const SCAN_INTERVAL: Duration = Duration::from_millis(50);
 /// Added to the interval for each task that is scanned.
 const SCAN_INTERVAL_PER_TASK: Duration = Duration::from_micros(20);
-/// Added to the interval for each step that is prepared: its capacity is planned on all workers that are
-/// allowed for it.
+/// Added to the interval for each step that is prepared, because capacity for it is planned on all workers
+/// that may run it.
 const SCAN_INTERVAL_PER_STEP: Duration = Duration::from_millis(2);
 /// Time before a run can be declared lost at which capacity is reserved for its task: an advice request and
 /// the end of a short run take about as long.
@@ -37,16 +38,16 @@
 const RESERVE_TIME: Duration = Duration::from_millis(600);
 /// Largest share of all capacity that is reserved for such tasks, in percent.
 const MAX_RESERVED_PERCENT: u64 = 25;
-/// Allowed workers that are wanted for each task.
+/// Target number of allowed workers for each task.
 const ALLOWED_PER_TASK: usize = 2;
-/// Allowed workers that are wanted in addition, for each step.
+/// Number of allowed workers that each step should have in addition.
 const ALLOWED_SPARE: usize = 4;
-/// Workers in an advice request for each allowed worker that is missing.
+/// Number of workers in an advice request for each missing allowed worker.
 const ADVICE_PER_MISSING: usize = 4;
 /// Fewest workers in an advice request.
-const MIN_ADVICE_WORKERS: usize = 16;
+const MIN_ADVICE_WORKERS_RESTART: usize = 16;
 /// Most workers in an advice request.
-const MAX_ADVICE_WORKERS: usize = 100;
+const MAX_ADVICE_WORKERS_RESTART: usize = 100;
 
 /// A step with long-running tasks that are down or soon will be.
 #[derive(Clone, Debug, Default)]
@@ -55,7 +56,7 @@
     since: u64,
     /// Tasks for which capacity is reserved now.
     due: Vec<TaskKey>,
-    /// Number of tasks that are expected to need it later.
+    /// Number of tasks for which capacity is not reserved yet.
     later: usize,
     /// What is prepared for them.
     prepared: PreparedCounts,
@@ -344,7 +345,8 @@
         let unknown =
             unknown.filter(|(id, state)| !advice.has_answer_for(id) && may_take(id, state));
         let unknown: Vec<(&WorkerId, &WorkerState)> = unknown.collect();
-        let count = (missing * ADVICE_PER_MISSING).clamp(MIN_ADVICE_WORKERS, MAX_ADVICE_WORKERS);
+        let count = (missing * ADVICE_PER_MISSING)
+            .clamp(MIN_ADVICE_WORKERS_RESTART, MAX_ADVICE_WORKERS_RESTART);
         let workers_to_ask = workers_with_most_free(step, &unknown, count, now);
         if !workers_to_ask.is_empty() {
             self.request_advice(step.key, rule, &workers_to_ask);
@@ -363,8 +365,8 @@
         for state in lead.worker_states.values_mut() {
             state.drop_reservation(step.key, now);
         }
-        // Drops other steps' reservations there unless they are also for restarts; they are made again
-        // elsewhere.
+        // Drops the reservations of other steps on these workers, unless those steps restart as well. The
+        // other steps reserve capacity again elsewhere.
         let restarting: Vec<StepKey> = lead.restarting.keys().copied().collect();
         for plan in &plans {
             if let Some(state) = lead.worker_states.get_mut(plan.worker()) {
@@ -408,7 +410,7 @@
     }
 }
 
-/// Returns whether restarts of a step's tasks are prepared here.
+/// Returns whether a step's tasks are restarts for which capacity and permits are prepared.
 pub(super) fn is_prepared_restart(lead: &LeadState, step: &StepToPlace) -> bool {
     let restarting = lead.restarting.get(&step.key);
     step.has_no_trials() && restarting.is_some_and(|restarting| restarting.covers(&step.tasks))
--- a/crates/bankvalve_queue/src/core/restart_waits.rs
+++ b/crates/bankvalve_queue/src/core/restart_waits.rs
@@ -10,8 +10,8 @@
 use crate::job::TaskSize;
 use crate::ledger::{JobOutcome, TaskPhase};
 
-/// Time after a run's end from which on a wait for the next start is reported: about five times what an end,
-/// a placement and a start take without faults.
+/// Time after a run's end from which a wait for the next start is reported: about five times what an end, a
+/// placement and a start take without faults.
 const REPORTED_WAIT: Duration = Duration::from_secs(2);
 
 impl EntryCore {
--- a/crates/bankvalve_queue/src/core/round_trip.rs
+++ b/crates/bankvalve_queue/src/core/round_trip.rs
@@ -13,7 +13,8 @@
 use crate::ids::CoreTime;
 use crate::peer::{HeartbeatBody, HeartbeatEcho, PeerAddress};
 
-/// Number of peers that must be alive before their echoes say anything about this instance's link.
+/// Minimum number of live preferred members with echoes for their round trips to say anything about this
+/// instance's link.
 const MIN_PEERS: usize = 2;
 /// Time between two echoes from a preferred member if one is lost: two heartbeats.
 const MAX_ECHO_INTERVAL: Duration = Duration::from_millis(320);
@@ -26,7 +27,7 @@
 pub(super) struct PeerEcho {
     /// Send time of its last heartbeat in milliseconds, by the peer's clock, and time of arrival.
     last_heartbeat: Option<(u64, CoreTime)>,
-    /// When the first heartbeat of its present process arrived.
+    /// When the first heartbeat of its current process arrived.
     first_heartbeat: Option<CoreTime>,
     /// The last round-trip time, and when its echo arrived.
     last_round_trip: Option<(Duration, CoreTime)>,
@@ -76,7 +77,7 @@
         Some(HeartbeatEcho { sent_ms, held_ms })
     }
 
-    /// Returns the present round-trip time. If an echo is overdue, the round trip takes at least as
+    /// Returns the current round-trip time. If an echo is overdue, the round trip takes at least as
     /// long as it has been overdue.
     fn round_trip(&self, now: CoreTime) -> Option<Duration> {
         let (measured, at) = self.last_round_trip?;
--- a/crates/bankvalve_queue/src/core/stopped_leases.rs
+++ b/crates/bankvalve_queue/src/core/stopped_leases.rs
@@ -113,14 +113,14 @@
     pub(super) fn former_leases_expire_at(&self, worker: &WorkerId) -> CoreTime {
         let former = self.former_leaders.leases_expire_at();
         let began_at = self.lead.as_deref().map(|lead| lead.began_at);
-        let own =
+        let is_local =
             |lease: &&StoppedLease| began_at.is_some_and(|began_at| lease.known_at >= began_at);
         // A record by this leader itself contains what it assumed then. It may know more now.
         let record = self
             .stopped_leases
             .0
             .get(worker)
-            .filter(|lease| !own(lease));
+            .filter(|lease| !is_local(lease));
         match record.map(|lease| lease.expires_at) {
             Some(at) if self.former_leaders.may_miss_leaders(self.now) => at,
             Some(at) if self.enforces(SiteGuard::KnownHolds) => at.min(former),
@@ -135,12 +135,13 @@
     }
 
     /// Records in the ledger which unresponsive workers have leases that are no longer renewed.
-    pub(super) fn stop_silent_leases(&mut self) {
-        let seen = self.now.saturating_sub(self.lag);
+    pub(super) fn stop_lease_renewals(&mut self) {
+        let event_time = self.now.saturating_sub(self.lag);
         let Some(lead) = self.lead.as_deref() else {
             return;
         };
-        let unresponsive = |(_, state): &(&WorkerId, &WorkerState)| must_stop_renewal(state, seen);
+        let unresponsive =
+            |(_, state): &(&WorkerId, &WorkerState)| must_stop_renewal(state, event_time);
         let workers: Vec<WorkerId> = lead
             .worker_states
             .iter()
@@ -172,9 +173,9 @@
     /// recorded.
     fn lease_to_stop(&self, lead: &LeadState, id: &WorkerId) -> Option<(WorkerId, u64)> {
         let state = lead.worker_states.get(id)?;
-        let own = state.lease_left(self.now).mul_f64(SLOW_CLOCK_FACTOR);
+        let local = state.lease_left(self.now).mul_f64(SLOW_CLOCK_FACTOR);
         let former = self.former_leases_expire_at(id).saturating_sub(self.now);
-        let left = own.max(former);
+        let left = local.max(former);
         let recorded = self.stopped_leases.expires_at(id);
         let sooner = recorded.is_some_and(|at| self.now + left + RERECORD_DIFFERENCE < at);
         let due = match state.lease_stop {
@@ -227,20 +228,20 @@
     }
 }
 
-/// Returns whether a worker with runs has been out of contact for so long that its lease is not renewed.
-fn must_stop_renewal(state: &WorkerState, seen: CoreTime) -> bool {
+/// Returns whether a worker with runs has been out of contact for so long that renewing its lease must stop.
+fn must_stop_renewal(state: &WorkerState, event_time: CoreTime) -> bool {
     let since = state.last_contact.unwrap_or(state.known_at);
     let polled = state.token_accepted
         || state.entry.address.is_empty()
         || state.unanswered >= STOP_AFTER_UNANSWERED;
     let lost = state.refused || !state.listed;
-    let least = if lost {
+    let min_stop_after = if lost {
         STOP_IF_LOST_AFTER
     } else {
         STOP_IF_UNRESPONSIVE_AFTER
     };
-    let usual = least.max(state.usual_response_gap() + RESPONSE_GAP_SLACK);
-    !state.runs.is_empty() && polled && seen.saturating_sub(since) >= usual
+    let stop_after = min_stop_after.max(state.usual_response_gap() + RESPONSE_GAP_SLACK);
+    !state.runs.is_empty() && polled && event_time.saturating_sub(since) >= stop_after
 }
 
 /// Returns whether so many workers are unresponsive that the cause is the leader itself.
--- a/crates/bankvalve_queue/src/core/store_link.rs
+++ b/crates/bankvalve_queue/src/core/store_link.rs
@@ -45,6 +45,7 @@
         sequence: u64,
         sent_at: CoreTime,
     },
+    /// Read of the leader's row by the leader, to confirm its leadership.
     Confirm,
     /// A page of the ledger that starts at a batch.
     ReadLedger {
@@ -53,7 +54,9 @@
     LeaderRow,
     ReadCell,
     WatchCell,
-    Operator,
+    /// Read or watch of the operator's configuration.
+    WatchConfig,
+    /// Query for a newer configuration than the watch has delivered.
     QueryConfig,
     /// Workers' entries: a page of all of them, or their changes since a version.
     Workers {
@@ -62,6 +65,7 @@
         scan: u64,
     },
     DropMember,
+    /// Read of the leader's row by a follower, to find out whether the table answers it.
     Probe,
 }
 
@@ -180,7 +184,7 @@
             StorePurpose::LeaderRow => self.end_leader_row(&outcome),
             StorePurpose::ReadCell => self.end_read_cell(outcome),
             StorePurpose::WatchCell => self.end_watch_cell(outcome),
-            StorePurpose::Operator => self.end_operator(outcome),
+            StorePurpose::WatchConfig => self.end_config_watch(outcome),
             StorePurpose::QueryConfig => self.end_config_query(outcome),
             StorePurpose::Workers { full, scan } => self.end_workers(outcome, full, scan),
             StorePurpose::DropMember => {}
--- a/crates/bankvalve_queue/src/core/store_requests.rs
+++ b/crates/bankvalve_queue/src/core/store_requests.rs
@@ -96,9 +96,11 @@
     }
 
     /// Returns the maximum number of doublings of the timeout.
-    fn most_doublings(&self) -> u32 {
+    fn max_doublings(&self) -> u32 {
         match self.purpose {
-            StorePurpose::Operator | StorePurpose::Workers { .. } if self.table_wait.is_zero() => {
+            StorePurpose::WatchConfig | StorePurpose::Workers { .. }
+                if self.table_wait.is_zero() =>
+            {
                 MAX_LARGE_DOUBLINGS
             }
             StorePurpose::QueryConfig => MAX_LARGE_DOUBLINGS,
@@ -121,7 +123,7 @@
             StorePurpose::LeaderRow => "leader_row",
             StorePurpose::ReadCell => "read_cell",
             StorePurpose::WatchCell => "watch_cell",
-            StorePurpose::Operator => "operator",
+            StorePurpose::WatchConfig => "operator",
             StorePurpose::QueryConfig => "ask_operator",
             StorePurpose::Workers { .. } => "workers",
             StorePurpose::DropMember => "drop_member",
@@ -214,7 +216,7 @@
         let kind = pending_request.kind();
         match outcome {
             StoreOutcome::Lost => {
-                let most = pending_request.most_doublings();
+                let most = pending_request.max_doublings();
                 self.store_timeouts.record_miss(kind, most);
             }
             StoreOutcome::Busy => {}
@@ -235,7 +237,7 @@
         }
     }
 
-    /// Ends requests as lost whose result should have been reported long ago.
+    /// Ends requests as lost whose outcome should have been reported some time ago.
     pub(super) fn expire_store_requests(&mut self) {
         let now = self.now;
         let expired: Vec<Ticket> = self
--- a/crates/bankvalve_queue/src/core/suspects.rs
+++ b/crates/bankvalve_queue/src/core/suspects.rs
@@ -7,15 +7,16 @@
 //!
 //! Only what was seen is evidence. An order without an answer may never have arrived, and a worker that
 //! does not respond may be cut off. If a task crashes its worker, the worker's port refuses connections.
-//! During a trial run the leader knows to about 50 ms when it first did. The probability that a worker
-//! ends by chance within that time is estimated from the rate at which workers without a suspect are
-//! lost. So during a mass loss the same end weighs less, and it weighs least if other workers were lost
-//! at that moment.
+//! A worker with a trial run is polled so often that the leader knows to about 50 ms when its port first
+//! refused. The probability that the worker ended by chance between the start order and that moment is
+//! estimated from the recent rate of losses that no task is blamed for. The more workers are being lost, the
+//! weaker is the evidence of an end, above all if others were lost at the same moment.
 //!
 //! Trial runs take at most one worker in eight at once, or one in four including the workers that have just
 //! ended under one. A gang's suspects start together, so they may take more. A suspect that has waited too
-//! long for its start or for a free worker starts beside other runs. After a second end it starts only beside
-//! runs that are not new, where an end is as strong evidence. A long-running task waits only until
+//! long for its start or for a free worker starts beside other runs. If it must be isolated, which is the
+//! case after two ends of which one was an early crash, it starts only beside runs that are not new: there,
+//! an end is as strong evidence as on an empty worker. A long-running task waits only until
 //! [`is_past_restart_deadline`](EntryCore::is_past_restart_deadline) returns true, which counts all of its
 //! waits.
 
@@ -32,8 +33,8 @@
 use crate::job::TaskSize;
 use crate::ledger::{CrashCount, CrashEvidence, CrashWeight, EndKind, LedgerEvent, TaskRecord};
 
-/// Time from a start order within which the port of a worker that its task crashes usually refuses
-/// connections. An end within it is an early crash.
+/// Longest time from a start order to the first refused connection for an end that counts as an early crash.
+/// The port of a worker that its task crashes usually refuses connections by then.
 const EARLY_CRASH_AGE: Duration = Duration::from_secs(1);
 /// Longest time from a start order to the first refused connection for an end that may be proof, unless
 /// an earlier run ended at the same age.
@@ -43,8 +44,8 @@
 /// Time for which a port must have refused connections before the evidence is committed: by then, the
 /// leader has seen which other workers were lost at the same time.
 const EVIDENCE_DELAY: Duration = Duration::from_millis(400);
-/// Age of a run from which on its worker's end does not count against the task: a task that runs for weeks is
-/// present when some workers end.
+/// Known run time from which the end of a run's worker does not count against the task: a task that runs for
+/// weeks is present when some workers end.
 const UNRELATED_AGE: Duration = Duration::from_secs(30);
 /// One worker in this many, and at least one, may run a trial at the same time.
 const TRIAL_DIVISOR: usize = 8;
@@ -52,18 +53,19 @@
 /// declared lost.
 const OCCUPIED_DIVISOR: usize = 4;
 /// Longest wait for a free worker and an allowed start before a suspect starts beside other runs, if it
-/// was present at several ends without an early crash. Callers are told after three seconds that nothing
+/// was present at several ends without an early crash. After three seconds, callers are informed that nothing
 /// runs although there is capacity.
 const WEAK_MAX_WAIT: Duration = Duration::from_millis(2_000);
 /// Longest wait of a suspect with an early crash before it starts apart from new runs. After twice this time
 /// it may start beside any runs, and after three times also if it must be isolated and no end is proof.
 const EARLY_MAX_WAIT: Duration = Duration::from_secs(8);
 /// Time before and after a worker's end within which other losses count as simultaneous, as when a rack or
-/// a failure domain fails or the network is cut. The leader notices refusing ports within it.
+/// a failure domain fails or the network is cut. The leader notices within it that a port refuses.
 const SIMULTANEOUS_WINDOW: Duration = Duration::from_millis(200);
 /// Time without many losses that must precede a trial run whose end may be proof.
 const QUIET_TIME: Duration = Duration::from_secs(1);
-/// No such trial run starts if one worker in this many, and at least one, was lost within [`QUIET_TIME`].
+/// No such trial run starts if one worker in this many, and at least one worker, was lost within
+/// [`QUIET_TIME`].
 const QUIET_LOSS_DIVISOR: usize = 100;
 /// A mass loss is assumed if one worker in this many was lost at the same time as another. An end right after
 /// a start is only weak evidence then.
@@ -160,7 +162,7 @@
     }
 
     /// Returns how a run ended on a worker that was declared lost or has restarted.
-    pub(super) fn end_with_worker(
+    pub(super) fn end_kind_with_worker(
         &self,
         state: &WorkerState,
         loss: &LossFacts,
@@ -283,8 +285,9 @@
         } else {
             (true, 1)
         };
-        let within = |ended: u32, life: Duration| u128::from(ended) <= life.as_millis();
-        // At a greater age, only if nothing else ran there and an earlier run ended at the same age.
+        let within = |ended: u32, limit: Duration| u128::from(ended) <= limit.as_millis();
+        // At a greater age, an end is proof only if nothing else ran on the worker and an earlier run ended
+        // at the same age.
         let repeat = repeat.is_some_and(|span| span <= SAME_AGE_SPAN_MS) && state.runs.len() == 1;
         let proof = |ended: u32| {
             only_cause
@@ -363,7 +366,7 @@
         let waited_too_long = history.past_deadline || waited > max_wait;
         let may_share = history.past_deadline || !history.early_crash || waited > max_wait * 2;
         let must_isolate = history.must_isolate && (history.proven || waited <= max_wait * 3);
-        // The next end may be proof. It would be no evidence while other workers are lost.
+        // An end in this trial run may be proof, but not while many other workers are lost.
         let quiet_from = now.saturating_sub(QUIET_TIME);
         let many_losses = || {
             quiet_from < lead.began_at || lead.too_many_for_trial(lead.lost_since(quiet_from, now))
@@ -467,8 +470,8 @@
         }
     }
 
-    /// Returns workers that were lost without counting against a task, and when: those declared lost, and
-    /// those that do not respond now.
+    /// Returns the workers that were lost and whose end counts against no task, each with the time of its
+    /// loss: those declared lost, and those that do not respond now.
     fn losses(&self, now: CoreTime) -> impl Iterator<Item = (&WorkerId, LossWindow)> {
         let recorded = self
             .worker_losses
@@ -504,17 +507,17 @@
             .count()
     }
 
-    /// Returns whether so many losses within a short time are too many for a trial run.
+    /// Returns whether that many losses within a short time are too many for a trial run.
     fn too_many_for_trial(&self, others: usize) -> bool {
         others >= (self.worker_states.len() / QUIET_LOSS_DIVISOR).max(1)
     }
 
-    /// Returns whether so many others were lost with a worker that its end is only weak evidence.
+    /// Returns whether the number of others that were lost with a worker makes its end only weak evidence.
     fn is_mass_loss(&self, others: usize) -> bool {
         others >= (self.worker_states.len() / MASS_LOSS_DIVISOR).max(MIN_MASS_LOSS)
     }
 
-    /// Returns the loss rate of one worker, per second, while so many others are lost at once.
+    /// Returns the loss rate of one worker, per second, while that many others are lost at the same time.
     fn simultaneous_loss_rate(&self, others: usize) -> f64 {
         if others == 0 {
             return 0.0;
--- a/crates/bankvalve_queue/src/core/table_watch.rs
+++ b/crates/bankvalve_queue/src/core/table_watch.rs
@@ -103,13 +103,13 @@
 impl EntryCore {
     /// Watches the configuration, and queries it if the watch is not enough.
     pub(super) fn run_table(&mut self) {
-        self.watch_operator();
+        self.watch_config();
         self.query_config();
         self.run_pull();
         self.expire_lookups();
     }
 
-    fn watch_operator(&mut self) {
+    fn watch_config(&mut self) {
         let now = self.now;
         let tables = &mut self.tables;
         // The answer to a query contains the same changes.
@@ -125,7 +125,7 @@
                 StoreRequest::WatchOperator { after, wait_ms }
             }
         };
-        self.send_store_request(StorePurpose::Operator, request);
+        self.send_store_request(StorePurpose::WatchConfig, request);
     }
 
     /// Queries the table for a newer version, if a peer has announced one or the configuration in force
@@ -209,7 +209,7 @@
         let purpose = request.map(|request| &request.purpose);
         if matches!(
             purpose,
-            Some(StorePurpose::Operator | StorePurpose::QueryConfig)
+            Some(StorePurpose::WatchConfig | StorePurpose::QueryConfig)
         ) {
             self.extend_store_request(ticket);
             self.tables.arriving = Some(ticket);
@@ -225,14 +225,14 @@
     }
 
     /// Handles the result of the watch on the configuration.
-    pub(super) fn end_operator(&mut self, outcome: StoreOutcome) {
+    pub(super) fn end_config_watch(&mut self, outcome: StoreOutcome) {
         let now = self.now;
         self.tables.watch.busy = false;
         match outcome {
             StoreOutcome::Operator { news, version } => {
                 let changed = news.table.is_some();
                 let sent_at = self.tables.watch_sent;
-                let read = self.handle_operator_news(news, version, sent_at);
+                let read = self.handle_config_news(news, version, sent_at);
                 let watch = &mut self.tables.watch;
                 watch.failures = 0;
                 if !read {
@@ -255,7 +255,7 @@
         };
         match outcome {
             StoreOutcome::Operator { news, version } => {
-                let read = self.handle_operator_news(news, version, query.sent_at);
+                let read = self.handle_config_news(news, version, query.sent_at);
                 let tables = &mut self.tables;
                 tables.query_failures = 0;
                 tables.next_query_at = now
@@ -299,12 +299,7 @@
 
     /// Handles the table's answer to a request that was sent at `sent_at`. Returns whether the
     /// configuration in it could be read.
-    fn handle_operator_news(
-        &mut self,
-        news: OperatorNews,
-        version: u64,
-        sent_at: CoreTime,
-    ) -> bool {
+    fn handle_config_news(&mut self, news: OperatorNews, version: u64, sent_at: CoreTime) -> bool {
         if news.table.is_none() && !news.raw.is_empty() {
             let detail = format!("{} bytes at version {version}", news.raw.len());
             self.log("config", "unreadable", String::new(), detail);
--- a/crates/bankvalve_queue/src/core/waiting_steps.rs
+++ b/crates/bankvalve_queue/src/core/waiting_steps.rs
@@ -30,7 +30,7 @@
     latest_useful_start_ms: i64,
 }
 
-/// How late a job can finish at the earliest.
+/// How late a job finishes at best.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Lateness {
     /// Within its objective. Urgent jobs and long-running tasks always count as in time: by the age of its
--- a/crates/bankvalve_queue/src/core/worker_entries.rs
+++ b/crates/bankvalve_queue/src/core/worker_entries.rs
@@ -33,7 +33,7 @@
 /// A scan of all workers' entries, which arrive in pages.
 #[derive(Debug, Default)]
 pub(super) struct EntryScan {
-    /// Number of the scan, which tells apart the answers to an earlier scan.
+    /// Number of the scan, by which answers to an earlier scan are recognized.
     number: u64,
     /// Version of the table at the first page. A change to an entry of a page that was already read
     /// appears only in the change feed after this version.
@@ -195,11 +195,11 @@
         let now = self.now;
         let mut placed: Vec<AdoptedRun> = Vec::new();
         let mut open = Vec::new();
-        let mut begun = Vec::new();
+        let mut jobs_with_done_task = Vec::new();
         for job in self.book.jobs() {
             if job.outcome == JobOutcome::Open {
                 open.push(job.spec.id);
-                begun.extend(job.has_done_task().then_some(job.spec.id));
+                jobs_with_done_task.extend(job.has_done_task().then_some(job.spec.id));
             }
             for (time, record) in &job.times {
                 for (number, step) in record.steps.iter().enumerate() {
@@ -242,7 +242,7 @@
             return;
         };
         lead.dirty_jobs.extend(open.iter().copied());
-        lead.started_jobs.extend(begun);
+        lead.started_jobs.extend(jobs_with_done_task);
         for adopted in placed {
             lead.dirty_jobs.insert(adopted.task.step.job);
             let lease_stop = self.stopped_leases.state_of(&adopted.worker);
--- a/crates/bankvalve_queue/src/core/worker_reports.rs
+++ b/crates/bankvalve_queue/src/core/worker_reports.rs
@@ -21,9 +21,9 @@
 const MIN_RUN_TIME_RATIO: f64 = 0.05;
 
 /// Run time beyond which the failure of a long-running task does not count against its worker. Such tasks may
-/// fail at any time and never end as done, so that nothing resets the count of failures: three failures
-/// within hours put a worker into back-off, and each later one for up to 24 s. A worker that fails what it
-/// starts does so within its shortest back-off.
+/// fail at any time and never end as done, so nothing would reset the count of failures: three failures
+/// within hours would put a worker into back-off, and so would each later one, for up to 24 s. On a worker
+/// that fails what it starts, runs fail within its shortest back-off.
 const START_FAILURE_WINDOW: Duration = Duration::from_secs(3);
 
 /// A run that ended with its worker.
@@ -380,7 +380,7 @@
         });
     }
 
-    /// Declares a worker lost and ends all its runs, which are known to run no more.
+    /// Declares a worker lost and ends all its runs, which are known to have ended.
     pub(super) fn declare_worker_lost(&mut self, id: &WorkerId, end: ProcessEnd) {
         let now = self.now;
         let Some(lead) = self.lead.as_deref() else {
@@ -395,7 +395,7 @@
         let lost = |(task, live): (&TaskKey, &LiveRun)| LostRun {
             task: *task,
             run: live.run,
-            how: self.end_with_worker(state, &loss, task, live),
+            how: self.end_kind_with_worker(state, &loss, task, live),
             saved: live.saved.clone(),
             has_new_evidence: live.crash.is_none(),
             why: format!("{}, {}", end.as_str(), live.summary(now)),
--- a/crates/bankvalve_queue/src/core/worker_selection.rs
+++ b/crates/bankvalve_queue/src/core/worker_selection.rs
@@ -146,7 +146,7 @@
     /// Returns the rank of the worker for a step; the smallest is the best. The criteria, in this order:
     ///
     /// 1. Workers that are not in back-off.
-    /// 2. For suspects, workers known for longest: the loss of one that comes and goes is no evidence.
+    /// 2. For suspects, workers known for longest: the loss of one that leaves often is no evidence.
     /// 3. For gangs, which end with one failure, workers whose last run did not fail.
     /// 4. Workers near the step's data.
     /// 5. For urgent steps, fast workers.
--- a/crates/bankvalve_queue/src/core/worker_state.rs
+++ b/crates/bankvalve_queue/src/core/worker_state.rs
@@ -153,9 +153,13 @@
     pub(super) last_end_acknowledged: u64,
     /// Logarithm of how much longer tasks take on this worker than on others.
     pub(super) slowness: f64,
+    /// Number of tasks that have been averaged into the slowness.
     measured: u32,
+    /// Consecutive failures. Several in a row of one job count as one.
     failures: u32,
+    /// Job of the last failure.
     failed_job: u64,
+    /// Back-offs since the last success.
     backoffs: u32,
     pub(super) backoff_until: CoreTime,
 }
@@ -322,7 +326,7 @@
         known.is_none_or(|(answers, wrote)| answers == wrote)
     }
 
-    /// Returns whether the ledger has ended runs that the process has not been told to drop.
+    /// Returns whether the ledger has ended runs whose acknowledgement the process has not confirmed.
     pub(super) fn has_unacknowledged_ends(&self) -> bool {
         self.last_end_committed > self.last_end_acknowledged
     }
