--- a/crates/bankvalve_queue/src/core/commit.rs
+++ b/crates/bankvalve_queue/src/core/commit.rs
@@ -82,10 +82,13 @@
     pub(super) events: Vec<LedgerEvent>,
     /// Effects in the order of their proposals, and whether each proposal has an event.
     pub(super) effects: Vec<(bool, Effect)>,
+    /// When the first copy was sent.
     pub(super) since: CoreTime,
     /// Unanswered copies of the write.
     pub(super) copies: u32,
+    /// When the last copy was sent.
     pub(super) sent_at: CoreTime,
+    /// When another copy may be sent if none is unanswered.
     pub(super) next_at: CoreTime,
     /// When to read back whether the write was applied, unless such a read is pending.
     pub(super) check_at: CoreTime,
--- a/crates/bankvalve_queue/src/core/entry_core.rs
+++ b/crates/bankvalve_queue/src/core/entry_core.rs
@@ -233,27 +233,37 @@
 #[derive(Debug)]
 pub struct EntryCore {
     pub(super) settings: EntrySettings,
+    /// Internal clock: the monotonic clock plus [`CLOCK_BASE`].
     pub(super) now: CoreTime,
+    /// Time of day.
     pub(super) wall: WallMillis,
     /// How long the current event waited before it was handled.
     pub(super) lag: Duration,
+    /// The configuration in force.
     pub(super) table: Option<QueueTable>,
+    /// How newer configurations are found and read.
     pub(super) tables: TableWatch,
     pub(super) limits: CustomerLimits,
     pub(super) peers: BTreeMap<PeerAddress, PeerView>,
     /// The preferred members, as of the last heartbeat.
     pub(super) preferred: Vec<PeerAddress>,
     pub(super) leader: Option<LeaderView>,
+    /// Latest epoch that is known.
     pub(super) highest_epoch: u64,
+    /// Whether this instance's member row is in place.
     pub(super) registered: bool,
+    /// Whether all members' rows have been read.
     pub(super) members_known: bool,
     pub(super) claim: Option<super::election::ClaimState>,
+    /// Number of consecutive claims that the table did not answer.
     pub(super) claims_unanswered: u32,
     /// Latest epoch that this instance claimed.
     pub(super) claimed_epoch: u64,
     /// Epoch of the last claim, and when its first copy was sent.
     pub(super) claim_sent: (u64, CoreTime),
+    /// Since when the leader has been suspected.
     pub(super) suspect_since: Option<CoreTime>,
+    /// Epoch of a leader that has asked this instance to take over.
     pub(super) handover_epoch: Option<u64>,
     /// Whether the leader that requested the handover has already stopped commanding workers.
     pub(super) handover_leader_stopped: bool,
@@ -263,18 +273,22 @@
     pub(super) next_other_heartbeat: CoreTime,
     pub(super) next_slow_heartbeat: CoreTime,
     pub(super) book: JobBook,
+    /// Number of the last ledger batch that the book contains.
     pub(super) applied: u64,
+    /// When a follower reads the batches that it lacks.
     pub(super) catch_up_at: Option<CoreTime>,
     /// When to retry reading the leader's row after a failed read.
     pub(super) leader_row_at: Option<CoreTime>,
     pub(super) ledger_page: LedgerPage,
     /// Whether the ledger is being read, which means that the book is incomplete.
     pub(super) catching_up: bool,
+    /// State of this instance as the leader; `None` on a follower.
     pub(super) lead: Option<Box<LeadState>>,
     /// Slowness of workers and estimate errors of queues, as last sent by the leader.
     pub(super) measurements: (BTreeMap<WorkerId, f64>, BTreeMap<String, f64>),
     pub(super) open_requests: BTreeMap<Ticket, OpenRequest>,
     pub(super) follower_reads: FollowerReads,
+    /// Advice requests that this instance sends for the leader: the leader and its ticket.
     pub(super) proxied_advice: BTreeMap<Ticket, (PeerAddress, Ticket)>,
     /// Calls that this instance sends for the leader.
     pub(super) proxied_calls: BTreeMap<Ticket, ProxyOrigin>,
@@ -291,6 +305,7 @@
     pub(super) worker_list_at: Option<CoreTime>,
     /// Services named by a queue or an open job. Workers of other services are not called.
     pub(super) services: BTreeSet<String>,
+    /// When the table last answered a probe of this instance.
     pub(super) probe_answered: Option<CoreTime>,
     /// When the table last answered any request.
     pub(super) store_last_contact: Option<CoreTime>,
--- a/crates/bankvalve_queue/src/core/lead_state.rs
+++ b/crates/bankvalve_queue/src/core/lead_state.rs
@@ -110,7 +110,9 @@
 #[derive(Debug)]
 pub(super) struct LeadState {
     pub(super) epoch: u64,
+    /// Version of the leader's row that this instance wrote.
     pub(super) row_version: u64,
+    /// When this leadership began.
     pub(super) began_at: CoreTime,
     /// Whether the entire ledger has been read.
     pub(super) loaded: bool,
@@ -179,6 +181,7 @@
     miss_wait: Duration,
     /// Moving average of the share of missed answers, in thousandths.
     missed_permille: u32,
+    /// Steps with tasks that wait for placement.
     pub(super) waiting: BTreeMap<StepKey, WaitingStep>,
     /// What each customer has running, as of the last placement pass.
     pub(super) usage: CustomerUsage,
--- a/crates/bankvalve_queue/src/core/live_run.rs
+++ b/crates/bankvalve_queue/src/core/live_run.rs
@@ -81,13 +81,19 @@
     pub(super) size: TaskSize,
     pub(super) customer: Option<CustomerName>,
     pub(super) phase: RunPhase,
+    /// When the worker answered the start order. Without such an answer, when the run was proposed or found.
     pub(super) began: CoreTime,
+    /// Estimated run time.
     pub(super) estimate: Duration,
     /// Copies of the order that had no answer and may still be executed.
     pub(super) copies: u32,
+    /// Whether an order for it is in flight.
     pub(super) busy: bool,
+    /// When the next order may be sent.
     pub(super) next_at: CoreTime,
+    /// Number of start orders that were sent.
     pub(super) tries: u32,
+    /// Saved progress that the worker last reported.
     pub(super) saved: String,
     /// Whether the start time is known, so that the run time can be measured.
     pub(super) measured: bool,
--- a/crates/bankvalve_queue/src/core/suspects.rs
+++ b/crates/bankvalve_queue/src/core/suspects.rs
@@ -356,13 +356,13 @@
             return TrialMode::Deferred;
         };
         lead.forget_ended_trials();
-        let waited = lead.capacity_waits.get(&step).copied().unwrap_or(now);
+        let since = lead.capacity_waits.get(&step).copied().unwrap_or(now);
         let max_wait = if history.early_crash {
             EARLY_MAX_WAIT
         } else {
             WEAK_MAX_WAIT
         };
-        let waited = now.saturating_sub(waited);
+        let waited = now.saturating_sub(since);
         let waited_too_long = history.past_deadline || waited > max_wait;
         let may_share = history.past_deadline || !history.early_crash || waited > max_wait * 2;
         let must_isolate = history.must_isolate && (history.proven || waited <= max_wait * 3);
--- a/crates/bankvalve_queue/src/core/waiting_steps.rs
+++ b/crates/bankvalve_queue/src/core/waiting_steps.rs
@@ -25,6 +25,8 @@
     lasting: bool,
     /// Latest start with which the job finishes within its objective, in Unix milliseconds.
     latest_start_ms: i64,
+    /// Time from which the objective counts, in Unix milliseconds: the job's acceptance, due time or
+    /// scheduled start.
     begin_ms: i64,
     /// Latest start with which the job still earns something, in Unix milliseconds.
     latest_useful_start_ms: i64,
--- a/crates/bankvalve_queue/src/core/worker_state.rs
+++ b/crates/bankvalve_queue/src/core/worker_state.rs
@@ -106,6 +106,7 @@
     /// Number of this incarnation.
     pub(super) number: u64,
     pub(super) entry: WorkerEntry,
+    /// Whether the entry exists in the table, as last read.
     pub(super) listed: bool,
     /// Whether a queue or an open job names the worker's service.
     pub(super) service_in_use: bool,
@@ -131,6 +132,7 @@
     pub(super) lease_until: u64,
     pub(super) lease_stop: LeaseStop,
     pub(super) last_contact: Option<CoreTime>,
+    /// When this leader learned of the process.
     pub(super) known_at: CoreTime,
     /// Polls without an answer since the last contact.
     pub(super) unanswered: u32,
@@ -139,6 +141,7 @@
     pub(super) poll_wait: Duration,
     pub(super) next_poll: CoreTime,
     pub(super) runs: BTreeMap<TaskKey, LiveRun>,
+    /// Resources that the runs take.
     pub(super) used: TaskSize,
     pub(super) reserved: Vec<Reservation>,
     /// Start time of the process that answers, as reported with its last run lists.
