--- a/crates/bankvalve_queue/src/core/capacity_reclaim.rs
+++ b/crates/bankvalve_queue/src/core/capacity_reclaim.rs
@@ -163,7 +163,7 @@
     }
 
     /// Records that tasks of a step found no capacity.
-    pub(super) fn note_capacity_wait(&mut self, key: StepKey) {
+    pub(super) fn record_capacity_wait(&mut self, key: StepKey) {
         let now = self.now;
         if let Some(lead) = self.lead.as_deref_mut() {
             lead.capacity_waits.entry(key).or_insert(now);
--- a/crates/bankvalve_queue/src/core/commit.rs
+++ b/crates/bankvalve_queue/src/core/commit.rs
@@ -170,7 +170,7 @@
     }
 
     /// Starts the time for which the table has not answered, unless it is running already.
-    pub(super) fn note_store_request(&mut self) {
+    pub(super) fn record_store_request(&mut self) {
         let now = self.now;
         if let Some(lead) = self.lead.as_deref_mut() {
             lead.unanswered_since.get_or_insert(now);
@@ -279,7 +279,7 @@
             sequence: commit.sequence,
             sent_at: self.now,
         };
-        self.note_store_request();
+        self.record_store_request();
         self.send_store_request_within(purpose, request, COMMIT_TIMEOUT);
     }
 
@@ -296,7 +296,7 @@
             outcome,
             StoreOutcome::Applied { .. } | StoreOutcome::Conflict { .. }
         ) {
-            lead.note_commit(now.saturating_sub(sent_at), now);
+            lead.record_commit(now.saturating_sub(sent_at), now);
         }
         let Some(commit) = lead.in_flight_commit.as_mut() else {
             return;
@@ -343,7 +343,7 @@
         };
         lead.sequence = commit.sequence + commit.rows.len() as u64 - 1;
         lead.confirmed_at = lead.confirmed_at.max(confirmed_at);
-        lead.note_store_answer();
+        lead.record_store_answer();
         lead.unavailable_since = None;
         self.applied = lead.sequence;
         for job in commit.events.iter().filter_map(LedgerEvent::job) {
@@ -442,7 +442,7 @@
         if let Some(lead) = self.lead.as_deref_mut() {
             lead.load_at = None;
         }
-        self.note_store_request();
+        self.record_store_request();
         self.read_ledger();
     }
 
--- a/crates/bankvalve_queue/src/core/customer_limits.rs
+++ b/crates/bankvalve_queue/src/core/customer_limits.rs
@@ -102,7 +102,7 @@
 
 impl EntryCore {
     /// Applies the limits of a configuration that is about to be in force.
-    pub(super) fn note_limits(&mut self, table: &QueueTable) {
+    pub(super) fn apply_limits(&mut self, table: &QueueTable) {
         self.limits.update(table, self.now);
     }
 
--- a/crates/bankvalve_queue/src/core/customer_shares.rs
+++ b/crates/bankvalve_queue/src/core/customer_shares.rs
@@ -211,7 +211,7 @@
 
     /// Records how much CPU the waiting tasks request, for a placement pass. Steps that wait for their
     /// customer's limit do not count.
-    pub(super) fn note_backlog(&mut self) {
+    pub(super) fn record_backlog(&mut self) {
         if !self.limits.are_known() {
             return;
         }
--- a/crates/bankvalve_queue/src/core/election.rs
+++ b/crates/bankvalve_queue/src/core/election.rs
@@ -215,10 +215,10 @@
         self.suspect_since = None;
         if let Some(old) = self.leader.take() {
             if old.epoch < leader.epoch {
-                self.note_former_leader(&old);
+                self.record_former_leader(&old);
             }
         }
-        self.note_epoch(leader.epoch);
+        self.record_epoch(leader.epoch);
         let is_local = leader.address == self.settings.address;
         if !is_local {
             let now = self.now;
@@ -243,7 +243,7 @@
         self.log("election", "deposed", id, why.to_owned());
         let (address, life) = (self.settings.address, self.settings.life);
         let ended = LeaderView::new(address, life, lead.epoch, self.now);
-        self.note_ended_leader(&ended);
+        self.record_ended_leader(&ended);
         self.worker_watch.after = None;
         // Uncommitted events must be removed from the book, so it is read again. Before the entire
         // ledger was read, no such event was added.
@@ -289,7 +289,7 @@
 
     /// Handles a heartbeat from a peer that leads. One with an earlier epoch is ignored, and one with a
     /// later epoch is from a new leader.
-    pub(super) fn note_leader_heartbeat(&mut self, from: PeerAddress, heartbeat: &HeartbeatBody) {
+    pub(super) fn handle_leader_heartbeat(&mut self, from: PeerAddress, heartbeat: &HeartbeatBody) {
         let known = self.leader.as_ref().map_or(0, |leader| leader.epoch);
         if heartbeat.epoch < self.highest_epoch {
             return;
@@ -519,11 +519,11 @@
         self.highest_epoch = self.highest_epoch.max(epoch);
         self.counters.count("elections", "won");
         match &predecessor {
-            Some(old) if predecessor_stopped => self.note_ended_leader(old),
-            Some(old) => self.note_former_leader(old),
+            Some(old) if predecessor_stopped => self.record_ended_leader(old),
+            Some(old) => self.record_former_leader(old),
             None => {}
         }
-        self.note_epoch(epoch);
+        self.record_epoch(epoch);
         let before = predecessor.map(|old| (old.address, old.life));
         let detail =
             format!(
--- a/crates/bankvalve_queue/src/core/entry_core.rs
+++ b/crates/bankvalve_queue/src/core/entry_core.rs
@@ -396,7 +396,7 @@
         self.now += pause;
         self.wall = wall;
         if let Some(lead) = self.lead.as_deref_mut() {
-            lead.note_pause(pause, self.now);
+            lead.record_pause(pause, self.now);
         }
         match event {
             CoreEvent::Tick => self.tick(),
--- a/crates/bankvalve_queue/src/core/follower.rs
+++ b/crates/bankvalve_queue/src/core/follower.rs
@@ -35,7 +35,7 @@
                 caller,
                 request,
             } => {
-                self.note_announced_version(from, table_version);
+                self.record_announced_version(from, table_version);
                 self.handle_forwarded_request(from, ticket, table_version, &caller, request);
             }
             PeerMessage::Reply { ticket, answer } => self.handle_reply(from, ticket, answer),
@@ -218,7 +218,7 @@
         let continues_book = from <= self.applied + 1;
         self.apply_ledger_rows(&rows);
         if let Some(lead) = self.lead.as_deref_mut() {
-            lead.note_store_answer();
+            lead.record_store_answer();
         }
         if more || !continues_book || !current {
             self.read_next_page();
--- a/crates/bankvalve_queue/src/core/former_leaders.rs
+++ b/crates/bankvalve_queue/src/core/former_leaders.rs
@@ -74,7 +74,7 @@
     /// An instance that has just started assumes nothing about leaders before the first epoch that it learns
     /// of, because after a restart of all instances each wait would be 25 s. The ledger's record of a
     /// worker's lease then takes precedence over the calculation here.
-    fn note_epoch(&mut self, epoch: u64, now: CoreTime, longest: Duration) {
+    fn record_epoch(&mut self, epoch: u64, now: CoreTime, longest: Duration) {
         let first = self.latest == 0;
         let missed = epoch > self.latest + 1;
         self.latest = self.latest.max(epoch);
@@ -127,7 +127,7 @@
 
     /// Learns from a heartbeat that a former leader's process has ended, or that it knows that it no longer
     /// leads.
-    pub(super) fn note_heartbeat(
+    pub(super) fn record_heartbeat(
         &mut self,
         from: PeerAddress,
         body: &HeartbeatBody,
@@ -159,13 +159,13 @@
     }
 
     /// Records that an epoch is known.
-    pub(super) fn note_epoch(&mut self, epoch: u64) {
+    pub(super) fn record_epoch(&mut self, epoch: u64) {
         let longest = self.settings.hold_limit;
-        self.former_leaders.note_epoch(epoch, self.now, longest);
+        self.former_leaders.record_epoch(epoch, self.now, longest);
     }
 
     /// Records that another instance or this one has succeeded `old` as leader.
-    pub(super) fn note_former_leader(&mut self, old: &LeaderView) {
+    pub(super) fn record_former_leader(&mut self, old: &LeaderView) {
         let now = self.now;
         let known = self.enforces(SiteGuard::KnownHolds);
         let last_heartbeat = self.mutual_contact_until(old).filter(|_| known);
@@ -194,7 +194,7 @@
     ///
     /// After a restart of all instances, none of them was in contact with the leader. But only members can be
     /// in contact with it: if all other members are live and none receives its heartbeats, no peer is.
-    pub(super) fn note_unreachable_leaders(&mut self) {
+    pub(super) fn record_unreachable_leaders(&mut self) {
         if self.former_leaders.are_known() || !self.enforces(SiteGuard::KnownHolds) {
             return;
         }
@@ -231,7 +231,7 @@
     }
 
     /// Records that this instance's leadership has ended, or that of a leader that reported that it stopped.
-    pub(super) fn note_ended_leader(&mut self, old: &LeaderView) {
+    pub(super) fn record_ended_leader(&mut self, old: &LeaderView) {
         let lease = self.reported_lease(old).unwrap_or(self.settings.hold_limit);
         self.add_former_leader(old, self.now, true, lease);
     }
--- a/crates/bankvalve_queue/src/core/lead_confirmation.rs
+++ b/crates/bankvalve_queue/src/core/lead_confirmation.rs
@@ -36,7 +36,7 @@
             from: String::new(),
             limit: None,
         };
-        self.note_store_request();
+        self.record_store_request();
         self.send_store_request(StorePurpose::Confirm, request);
     }
 
@@ -50,7 +50,7 @@
         let StoreOutcome::Rows { rows, .. } = outcome else {
             return;
         };
-        lead.note_store_answer();
+        lead.record_store_answer();
         if !rows.iter().any(|row| row.version == lead.row_version) {
             self.step_down("the leader's row has changed");
             self.handle_leader_rows(rows);
--- a/crates/bankvalve_queue/src/core/lead_state.rs
+++ b/crates/bankvalve_queue/src/core/lead_state.rs
@@ -338,13 +338,13 @@
     }
 
     /// Records that the table has answered a request.
-    pub(super) fn note_store_answer(&mut self) {
+    pub(super) fn record_store_answer(&mut self) {
         self.unanswered_since = None;
     }
 
     /// Records the time since the previous event. A long gap means that the machine was suspended or
     /// the process was frozen.
-    pub(super) fn note_pause(&mut self, pause: Duration, now: CoreTime) {
+    pub(super) fn record_pause(&mut self, pause: Duration, now: CoreTime) {
         if pause > FREEZE_THRESHOLD {
             self.resumed_at = now;
             self.next_confirm = now;
@@ -357,7 +357,7 @@
     }
 
     /// Records the duration of an answered write.
-    pub(super) fn note_commit(&mut self, took: Duration, now: CoreTime) {
+    pub(super) fn record_commit(&mut self, took: Duration, now: CoreTime) {
         self.commit_time = (self.commit_time + took) / 2;
         self.last_commit = Some((took, now));
     }
@@ -382,7 +382,7 @@
     }
 
     /// Records the time in which a worker answered an order.
-    pub(super) fn note_answer(&mut self, took: Duration) {
+    pub(super) fn record_answer_time(&mut self, took: Duration) {
         self.answer_time = if took > self.answer_time {
             (self.answer_time * 3 + took) / 4
         } else {
@@ -392,7 +392,7 @@
 
     /// Records that a worker with recent contact has missed the time limit for an answer. If most
     /// answers are missed, they are late rather than lost, and the limit rises.
-    pub(super) fn note_miss(&mut self) {
+    pub(super) fn record_missed_answer(&mut self) {
         self.missed_permille += (1_000 - self.missed_permille) / MISS_WINDOW;
         if self.missed_permille > MOSTLY_MISSED_PERMILLE {
             let more = (self.miss_wait + MISS_WAIT_STEP) * 9 / 8;
@@ -401,7 +401,7 @@
     }
 
     /// Records that a worker has answered within the time limit.
-    pub(super) fn note_in_time(&mut self) {
+    pub(super) fn record_answer_in_time(&mut self) {
         self.missed_permille -= self.missed_permille / MISS_WINDOW;
         self.miss_wait = self.miss_wait * 15 / 16;
     }
@@ -413,7 +413,7 @@
     }
 
     /// Records the time from the proposal of a start to its order.
-    pub(super) fn note_order_delay(&mut self, wait: Duration) {
+    pub(super) fn record_order_delay(&mut self, wait: Duration) {
         self.order_delay = (self.order_delay * 3 + wait) / 4;
     }
 
@@ -438,7 +438,7 @@
         let Some(lead) = self.lead.as_deref_mut() else {
             return;
         };
-        lead.load.note(now, lag);
+        lead.load.record_wait(now, lag);
         self.run_confirm();
         self.run_loading();
         // Ended runs can be handled only once their jobs are known.
--- a/crates/bankvalve_queue/src/core/lease_renewal.rs
+++ b/crates/bankvalve_queue/src/core/lease_renewal.rs
@@ -370,7 +370,7 @@
         let purpose = &open.purpose;
         let order = !matches!(purpose, CallPurpose::Poll { .. });
         if order && matches!(answer, WorkerAnswer::Done { .. }) {
-            lead.note_answer(now.saturating_sub(open.sent_at));
+            lead.record_answer_time(now.saturating_sub(open.sent_at));
         }
         let fenced = matches!(
             answer,
@@ -497,7 +497,7 @@
         self.counters.count("retries", "worker_silent");
         self.propose_crash_evidence(id);
         if let Some(lead) = self.lead.as_deref_mut().filter(|_| first_miss) {
-            lead.note_miss();
+            lead.record_missed_answer();
         }
     }
 
@@ -512,12 +512,12 @@
         let Some(lead) = self.lead.as_deref_mut() else {
             return;
         };
-        lead.note_in_time();
+        lead.record_answer_in_time();
         let Some(state) = lead.worker_states.get_mut(id) else {
             return;
         };
         if let Some(clock) = clock_ms {
-            state.note_clock(now, clock);
+            state.record_clock(now, clock);
         }
         let first = !state.token_accepted;
         state.token_accepted = true;
--- a/crates/bankvalve_queue/src/core/load_limit.rs
+++ b/crates/bankvalve_queue/src/core/load_limit.rs
@@ -48,7 +48,7 @@
     }
 
     /// Records how long an event has waited, and changes the share when that is due.
-    pub(super) fn note(&mut self, now: CoreTime, wait: Duration) {
+    pub(super) fn record_wait(&mut self, now: CoreTime, wait: Duration) {
         self.longest_wait = self.longest_wait.max(wait);
         if now < self.next_at {
             return;
--- a/crates/bankvalve_queue/src/core/lost_contact.rs
+++ b/crates/bankvalve_queue/src/core/lost_contact.rs
@@ -82,7 +82,7 @@
 
 impl WaitTracker {
     /// Records that a run ended without success.
-    pub(super) fn note_end(&mut self, task: TaskKey, run: RunId, now: CoreTime) {
+    pub(super) fn record_end(&mut self, task: TaskKey, run: RunId, now: CoreTime) {
         let ended = EndedRun {
             run,
             since: now,
@@ -232,7 +232,7 @@
                     for (index, task) in step.tasks.iter().enumerate() {
                         if task.phase == TaskPhase::Waiting && task.last_run > 0 {
                             let task_key = key.task(index as u32);
-                            lead.wait_tracker.note_end(task_key, task.last_run, now);
+                            lead.wait_tracker.record_end(task_key, task.last_run, now);
                         }
                     }
                 }
--- a/crates/bankvalve_queue/src/core/members.rs
+++ b/crates/bankvalve_queue/src/core/members.rs
@@ -123,7 +123,7 @@
         if let Some(lead) = self.lead.as_deref_mut() {
             lead.round_trip_time = round_trip;
             lead.load
-                .note(self.now, round_trip.min(lead.link_delay(self.now)));
+                .record_wait(self.now, round_trip.min(lead.link_delay(self.now)));
         }
         self.send_measurements();
         self.remove_lost_members();
@@ -193,8 +193,8 @@
     }
 
     pub(super) fn handle_heartbeat(&mut self, from: PeerAddress, heartbeat: HeartbeatBody) {
-        self.note_announced_version(from, heartbeat.table_version);
-        self.note_newest_version(heartbeat.table_version, heartbeat.table_age_ms);
+        self.record_announced_version(from, heartbeat.table_version);
+        self.record_newest_version(heartbeat.table_version, heartbeat.table_age_ms);
         self.finish_outgoing_copy(from, heartbeat.table_version);
         if let Some(lead) = &self.lead {
             if heartbeat.epoch > lead.epoch {
@@ -206,7 +206,7 @@
         }
         self.update_leader_contact(from, &heartbeat);
         if heartbeat.leading {
-            self.note_leader_heartbeat(from, &heartbeat);
+            self.handle_leader_heartbeat(from, &heartbeat);
         } else if self.is_new_process_of_leader(from, &heartbeat) {
             self.mark_leader_gone();
             if let Some(leader) = self.leader.as_mut() {
@@ -214,7 +214,7 @@
             }
         }
         let now = self.now;
-        self.former_leaders.note_heartbeat(from, &heartbeat, now);
+        self.former_leaders.record_heartbeat(from, &heartbeat, now);
         let slow = self.has_slow_heartbeat(from);
         let peer = self.peers.entry(from).or_insert_with(|| PeerView {
             known_at: now,
@@ -230,9 +230,9 @@
         peer.last_contact = Some(now);
         peer.strength = heartbeat.strength;
         peer.slow = slow;
-        peer.echo.note(now, &heartbeat);
+        peer.echo.record_heartbeat(now, &heartbeat);
         peer.heartbeat = heartbeat;
-        self.note_unreachable_leaders();
+        self.record_unreachable_leaders();
         if answer_now && self.lead.is_some() {
             // The peer should learn who leads without waiting for the next heartbeat.
             let heartbeat = self.heartbeat_for(from, &self.build_heartbeat());
--- a/crates/bankvalve_queue/src/core/orders.rs
+++ b/crates/bankvalve_queue/src/core/orders.rs
@@ -63,7 +63,7 @@
         live.phase = RunPhase::Ordered;
         live.ordered_at = Some(now);
         let wait = now.saturating_sub(live.began);
-        lead.note_order_delay(wait);
+        lead.record_order_delay(wait);
         self.send_start(&worker, task);
     }
 
--- a/crates/bankvalve_queue/src/core/placement.rs
+++ b/crates/bankvalve_queue/src/core/placement.rs
@@ -161,7 +161,7 @@
         ranked.sort_unstable();
         self.sum_usage_for_placement();
         self.remove_steps_at_limit(&mut ranked);
-        self.note_backlog();
+        self.record_backlog();
         let Some(lead) = self.lead.as_deref_mut() else {
             return;
         };
@@ -173,7 +173,7 @@
             .count_many("placements", "steps_looked_at", considered);
         for (_, key) in ranked {
             if !self.may_fit(key, &largest_free) {
-                self.note_capacity_wait(key);
+                self.record_capacity_wait(key);
                 if !self.may_reclaim_capacity(key) {
                     continue;
                 }
@@ -440,7 +440,7 @@
             self.drop_capacity_claim(step.key);
             return;
         }
-        self.note_capacity_wait(step.key);
+        self.record_capacity_wait(step.key);
         if self.may_reclaim_capacity(step.key) {
             self.reclaim_capacity(step, missing);
         }
--- a/crates/bankvalve_queue/src/core/round_trip.rs
+++ b/crates/bankvalve_queue/src/core/round_trip.rs
@@ -38,7 +38,7 @@
 
 impl PeerEcho {
     /// Records a heartbeat and its echo.
-    pub(super) fn note(&mut self, now: CoreTime, heartbeat: &HeartbeatBody) {
+    pub(super) fn record_heartbeat(&mut self, now: CoreTime, heartbeat: &HeartbeatBody) {
         self.last_heartbeat = Some((heartbeat.sent_ms, now));
         self.first_heartbeat.get_or_insert(now);
         let Some(echo) = &heartbeat.echo else {
--- a/crates/bankvalve_queue/src/core/store_link.rs
+++ b/crates/bankvalve_queue/src/core/store_link.rs
@@ -254,7 +254,7 @@
             } => {
                 let last = entries.last().map(|(id, _)| id.to_string());
                 if full {
-                    self.entry_scan.note_page(&entries, version);
+                    self.entry_scan.record_scan_page(&entries, version);
                 }
                 self.handle_worker_entries(entries, full);
                 if more {
--- a/crates/bankvalve_queue/src/core/store_requests.rs
+++ b/crates/bankvalve_queue/src/core/store_requests.rs
@@ -70,7 +70,7 @@
         self.latency.unwrap_or_default()
     }
 
-    fn note_latency(&mut self, took: Duration) {
+    fn record_latency(&mut self, took: Duration) {
         let usual_latency = self.latency.unwrap_or(took);
         let risen = usual_latency + took.saturating_sub(usual_latency) / LATENCY_RISE_DIVISOR;
         self.latency = Some(risen.min(took));
@@ -224,7 +224,7 @@
                 let transfer = took.saturating_sub(pending_request.table_wait);
                 self.store_timeouts.record_answer(kind, transfer);
                 if pending_request.purpose.is_small() {
-                    self.store_timeouts.note_latency(took);
+                    self.store_timeouts.record_latency(took);
                 }
             }
         }
--- a/crates/bankvalve_queue/src/core/suspects.rs
+++ b/crates/bankvalve_queue/src/core/suspects.rs
@@ -315,7 +315,7 @@
 
     /// Marks a worker as lost. Records the loss for the loss rate and for mass losses, unless the end counts
     /// against a task.
-    pub(super) fn note_worker_loss(&mut self, id: &WorkerId, blamed_on_task: bool) {
+    pub(super) fn record_worker_loss(&mut self, id: &WorkerId, blamed_on_task: bool) {
         let now = self.now;
         let Some(lead) = self.lead.as_deref_mut() else {
             return;
@@ -350,7 +350,7 @@
 
     /// Returns how the suspects of a step may start now.
     pub(super) fn trial_mode(&mut self, step: StepKey, history: SuspectHistory) -> TrialMode {
-        self.note_capacity_wait(step);
+        self.record_capacity_wait(step);
         let now = self.now;
         let Some(lead) = self.lead.as_deref_mut() else {
             return TrialMode::Deferred;
--- a/crates/bankvalve_queue/src/core/table_watch.rs
+++ b/crates/bankvalve_queue/src/core/table_watch.rs
@@ -170,7 +170,7 @@
     }
 
     /// Records that a peer with this version in force knew it to be the newest `age_ms` ago.
-    pub(super) fn note_newest_version(&mut self, version: u64, age_ms: Option<u64>) {
+    pub(super) fn record_newest_version(&mut self, version: u64, age_ms: Option<u64>) {
         let Some(age_ms) = age_ms.filter(|_| version == self.table_version()) else {
             return;
         };
@@ -189,7 +189,7 @@
     }
 
     /// Records the version that a peer has in force.
-    pub(super) fn note_announced_version(&mut self, from: PeerAddress, version: u64) {
+    pub(super) fn record_announced_version(&mut self, from: PeerAddress, version: u64) {
         let in_force = self.table_version();
         if version <= in_force || version <= self.tables.announced {
             return;
@@ -337,12 +337,12 @@
         );
         self.log("config", "in_force", version.to_string(), detail);
         self.actions.push(CoreAction::UseTable(table.clone()));
-        self.note_limits(&table);
+        self.apply_limits(&table);
         let services: Vec<String> = table
             .queues()
             .map(|queue| queue.terms.service.clone())
             .collect();
-        self.note_services_in_use(services);
+        self.add_services_in_use(services);
         self.table = Some(table);
         self.tables.raw = raw;
         self.tables.in_force_since = self.now;
--- a/crates/bankvalve_queue/src/core/worker_entries.rs
+++ b/crates/bankvalve_queue/src/core/worker_entries.rs
@@ -56,7 +56,7 @@
     }
 
     /// Records the workers on a page, read at a version of the table.
-    pub(super) fn note_page(&mut self, entries: &[(WorkerId, WorkerRow)], version: u64) {
+    pub(super) fn record_scan_page(&mut self, entries: &[(WorkerId, WorkerRow)], version: u64) {
         self.version.get_or_insert(version);
         self.listed_ids
             .extend(entries.iter().map(|(id, _)| id.clone()));
@@ -127,7 +127,7 @@
     }
 
     /// Adds services that a queue or an open job names, so that their workers are polled.
-    pub(super) fn note_services_in_use(&mut self, services: impl IntoIterator<Item = String>) {
+    pub(super) fn add_services_in_use(&mut self, services: impl IntoIterator<Item = String>) {
         let known = self.services.len();
         self.services.extend(services);
         if self.services.len() == known {
@@ -230,7 +230,7 @@
             .jobs()
             .filter(|job| job.outcome == JobOutcome::Open);
         let services: Vec<String> = jobs.map(|job| job.terms.service.clone()).collect();
-        self.note_services_in_use(services);
+        self.add_services_in_use(services);
         let detail = format!(
             "{} open jobs, {} runs, last batch {}",
             open.len(),
--- a/crates/bankvalve_queue/src/core/worker_reports.rs
+++ b/crates/bankvalve_queue/src/core/worker_reports.rs
@@ -109,13 +109,13 @@
                 .entry(queue.unwrap_or_default())
                 .or_insert(ratio);
             *error += ESTIMATE_ERROR_WEIGHT * (ratio - *error);
-            state.note_slowness(ratio - *error);
+            state.record_slowness(ratio - *error);
         }
         let may_back_off = self.settings.without != Some(PolicySwitch::FailureRest);
         let backs_off = match end.how {
-            EndKind::Done => state.note_result(job, true, now),
+            EndKind::Done => state.record_result(job, true, now),
             EndKind::Failed if may_back_off && !outlived_start => {
-                state.note_result(job, false, now)
+                state.record_result(job, false, now)
             }
             _ => false,
         };
@@ -227,7 +227,7 @@
     ) {
         let now = self.now;
         if let Some(lead) = self.lead.as_deref_mut().filter(|_| how != EndKind::Done) {
-            lead.wait_tracker.note_end(task, run, now);
+            lead.wait_tracker.record_end(task, run, now);
         }
         let event = LedgerEvent::Ended {
             task,
@@ -405,7 +405,7 @@
         self.log("workers", "lost", id.to_string(), detail);
         self.counters.count("workers", "lost");
         let is_proof = |lost: &LostRun| matches!(lost.how, EndKind::Crashed(evidence) if evidence.weight == CrashWeight::Proof);
-        self.note_worker_loss(id, runs.iter().any(is_proof));
+        self.record_worker_loss(id, runs.iter().any(is_proof));
         for lost in runs {
             self.end_without_report(id, lost.task, lost.run, lost.how, lost.saved, &lost.why);
             if lost.has_new_evidence && matches!(lost.how, EndKind::Crashed(_)) {
--- a/crates/bankvalve_queue/src/core/worker_state.rs
+++ b/crates/bankvalve_queue/src/core/worker_state.rs
@@ -353,7 +353,7 @@
     }
 
     /// Records a reading of the worker's clock from an answer.
-    pub(super) fn note_clock(&mut self, now: CoreTime, clock_ms: u64) {
+    pub(super) fn record_clock(&mut self, now: CoreTime, clock_ms: u64) {
         self.clock = Some((now, clock_ms));
     }
 
@@ -489,7 +489,7 @@
     }
 
     /// Records how much longer than usual for its queue a task took, as a logarithm.
-    pub(super) fn note_slowness(&mut self, excess: f64) {
+    pub(super) fn record_slowness(&mut self, excess: f64) {
         self.measured += 1;
         let weight = (1.0 / f64::from(self.measured + 1)).max(MIN_SLOWNESS_WEIGHT);
         let bounded = excess.clamp(-MAX_SLOWNESS_SAMPLE, MAX_SLOWNESS_SAMPLE);
@@ -502,7 +502,7 @@
     }
 
     /// Records how a run ended. Returns whether the worker's back-off starts.
-    pub(super) fn note_result(&mut self, job: u64, good: bool, now: CoreTime) -> bool {
+    pub(super) fn record_result(&mut self, job: u64, good: bool, now: CoreTime) -> bool {
         if good {
             self.failures = 0;
             self.backoffs = 0;
