--- a/crates/bankvalve_queue/src/core/election.rs
+++ b/crates/bankvalve_queue/src/core/election.rs
@@ -17,10 +17,10 @@
 /// Time without contact after which a leader is suspected: four heartbeats and the delay of a slow
 /// one.
 const SUSPECT_AFTER: Duration = Duration::from_millis(750);
-/// Maximum age of a peer's last contact with the leader that counts against the suspicion.
+/// Maximum age of a peer's last contact with the leader for which this instance does not suspect the leader.
 const RECENT_LEADER_CONTACT: Duration = Duration::from_millis(550);
-/// Time without contact after which an isolated instance suspects the leader. An instance that
-/// reaches no peer is more likely cut off itself.
+/// Time without contact after which an isolated instance suspects the leader. An instance that reaches no
+/// peer is probably cut off itself.
 const ISOLATED_SUSPECT_AFTER: Duration = Duration::from_millis(2_500);
 /// Claim delay for each preferred member that may claim first.
 const PREFERRED_RANK_DELAY: Duration = Duration::from_millis(120);
@@ -215,10 +215,10 @@
         self.suspect_since = None;
         if let Some(old) = self.leader.take() {
             if old.epoch < leader.epoch {
-                self.note_former_leader(&old);
+                self.record_former_leader(&old);
             }
         }
-        self.note_epoch(leader.epoch);
+        self.record_epoch(leader.epoch);
         let is_local = leader.address == self.settings.address;
         if !is_local {
             let now = self.now;
@@ -243,7 +243,7 @@
         self.log("election", "deposed", id, why.to_owned());
         let (address, life) = (self.settings.address, self.settings.life);
         let ended = LeaderView::new(address, life, lead.epoch, self.now);
-        self.note_ended_leader(&ended);
+        self.record_ended_leader(&ended);
         self.worker_watch.after = None;
         // Uncommitted events must be removed from the book, so it is read again. Before the entire
         // ledger was read, no such event was added.
@@ -289,7 +289,7 @@
 
     /// Handles a heartbeat from a peer that leads. One with an earlier epoch is ignored, and one with a
     /// later epoch is from a new leader.
-    pub(super) fn note_leader_heartbeat(&mut self, from: PeerAddress, heartbeat: &HeartbeatBody) {
+    pub(super) fn handle_leader_heartbeat(&mut self, from: PeerAddress, heartbeat: &HeartbeatBody) {
         let known = self.leader.as_ref().map_or(0, |leader| leader.epoch);
         if heartbeat.epoch < self.highest_epoch {
             return;
@@ -509,7 +509,8 @@
 
     fn begin_leadership(&mut self, epoch: u64, row_version: u64) {
         let predecessor = self.leader.take();
-        let asked = self.handover_epoch.take().is_some() && self.handover_leader_stopped;
+        let predecessor_stopped =
+            self.handover_epoch.take().is_some() && self.handover_leader_stopped;
         let ledger_end = self.claim.as_ref().and_then(|claim| claim.ledger_end);
         let complete = ledger_end.is_some_and(|applied| applied == self.applied);
         let claimed_at = self.claim.as_ref().map_or(self.now, |claim| claim.sent_at);
@@ -518,11 +519,11 @@
         self.highest_epoch = self.highest_epoch.max(epoch);
         self.counters.count("elections", "won");
         match &predecessor {
-            Some(old) if asked => self.note_ended_leader(old),
-            Some(old) => self.note_former_leader(old),
+            Some(old) if predecessor_stopped => self.record_ended_leader(old),
+            Some(old) => self.record_former_leader(old),
             None => {}
         }
-        self.note_epoch(epoch);
+        self.record_epoch(epoch);
         let before = predecessor.map(|old| (old.address, old.life));
         let detail =
             format!(
--- a/crates/bankvalve_queue/src/core/former_leaders.rs
+++ b/crates/bankvalve_queue/src/core/former_leaders.rs
@@ -5,8 +5,8 @@
 //! follows:
 //!
 //! - *Confirmed leadership:* normally, a lease that it requests ends [`LEASE_DURATION`] after the last time
-//!   at which
-//!   the table is known to have had its row. An instance that claims the row does so after that time.
+//!   at which the table is known to have had its row. An instance that claims the row does so after that
+//!   time.
 //! - *Mutual contact:* while the table is unavailable to all instances, it requests longer leases, but only
 //!   as long as each peer that was recently in mutual contact still receives its heartbeats. An instance that
 //!   was in mutual contact and no longer receives them knows that the leader has stopped requesting longer
@@ -26,10 +26,10 @@
 use crate::peer::{HeartbeatBody, PeerAddress};
 
 /// Age up to which a heartbeat that a peer has received shows that the peer is in contact: three heartbeat
-/// intervals of a non-preferred member, the round trip, and a slow turn of the event loop.
+/// intervals of a non-preferred member, the round trip, and a slow iteration of the event loop.
 const IN_CONTACT_WITHIN: Duration = Duration::from_millis(1_300);
-/// Time before the last confirmation of leadership. A peer that was in contact within it must still be,
-/// because such a peer may rely on it.
+/// Time before the last confirmation of leadership. Each peer that was in contact within it must still be in
+/// contact, because it may rely on that.
 const CONTACT_MEMORY: Duration = Duration::from_secs(10);
 /// Age of the mutual contact with a leader up to which a successor relies on it: half of [`CONTACT_MEMORY`],
 /// so that the two need not agree on the exact time.
@@ -74,7 +74,7 @@
     /// An instance that has just started assumes nothing about leaders before the first epoch that it learns
     /// of, because after a restart of all instances each wait would be 25 s. The ledger's record of a
     /// worker's lease then takes precedence over the calculation here.
-    fn note_epoch(&mut self, epoch: u64, now: CoreTime, longest: Duration) {
+    fn record_epoch(&mut self, epoch: u64, now: CoreTime, longest: Duration) {
         let first = self.latest == 0;
         let missed = epoch > self.latest + 1;
         self.latest = self.latest.max(epoch);
@@ -113,7 +113,7 @@
         leases.max().unwrap_or_default().mul_f64(SLOW_CLOCK_FACTOR) + ORDER_SLACK
     }
 
-    /// Returns whether it is known of all former leaders when they stopped.
+    /// Returns whether the times at which all former leaders stopped are known.
     pub(super) fn are_known(&self) -> bool {
         self.leaders.iter().all(|former| former.known)
     }
@@ -127,7 +127,7 @@
 
     /// Learns from a heartbeat that a former leader's process has ended, or that it knows that it no longer
     /// leads.
-    pub(super) fn note_heartbeat(
+    pub(super) fn record_heartbeat(
         &mut self,
         from: PeerAddress,
         body: &HeartbeatBody,
@@ -159,13 +159,13 @@
     }
 
     /// Records that an epoch is known.
-    pub(super) fn note_epoch(&mut self, epoch: u64) {
+    pub(super) fn record_epoch(&mut self, epoch: u64) {
         let longest = self.settings.hold_limit;
-        self.former_leaders.note_epoch(epoch, self.now, longest);
+        self.former_leaders.record_epoch(epoch, self.now, longest);
     }
 
     /// Records that another instance or this one has succeeded `old` as leader.
-    pub(super) fn note_former_leader(&mut self, old: &LeaderView) {
+    pub(super) fn record_former_leader(&mut self, old: &LeaderView) {
         let now = self.now;
         let known = self.enforces(SiteGuard::KnownHolds);
         let last_heartbeat = self.mutual_contact_until(old).filter(|_| known);
@@ -194,18 +194,18 @@
     ///
     /// After a restart of all instances, none of them was in contact with the leader. But only members can be
     /// in contact with it: if all other members are live and none receives its heartbeats, no peer is.
-    pub(super) fn note_unreachable_leaders(&mut self) {
+    pub(super) fn record_unreachable_leaders(&mut self) {
         if self.former_leaders.are_known() || !self.enforces(SiteGuard::KnownHolds) {
             return;
         }
-        let (now, own) = (self.now, self.lease_duration());
+        let (now, local_lease) = (self.now, self.lease_duration());
         let mut leaders = std::mem::take(&mut self.former_leaders.leaders);
         for former in leaders.iter_mut().filter(|former| !former.known) {
             if self.is_out_of_contact(former) {
                 former.stops_by = former.stops_by.min(now);
                 former.known = true;
                 // Members of the same version request the same lease.
-                former.lease = former.lease.min(own);
+                former.lease = former.lease.min(local_lease);
             }
         }
         self.former_leaders.leaders = leaders;
@@ -231,7 +231,7 @@
     }
 
     /// Records that this instance's leadership has ended, or that of a leader that reported that it stopped.
-    pub(super) fn note_ended_leader(&mut self, old: &LeaderView) {
+    pub(super) fn record_ended_leader(&mut self, old: &LeaderView) {
         let lease = self.reported_lease(old).unwrap_or(self.settings.hold_limit);
         self.add_former_leader(old, self.now, true, lease);
     }
@@ -264,13 +264,17 @@
     /// Returns when the last heartbeat came from a leader that required this instance to receive its
     /// heartbeats; `None` if it did not.
     fn mutual_contact_until(&self, old: &LeaderView) -> Option<CoreTime> {
-        // On a large site, a leader requires this of preferred members only: the others hear from it too
-        // rarely.
-        let is_required =
-            !self.has_many_members() || self.preferred.contains(&self.settings.address);
+        // On a large site, a leader requires this of preferred members only: the others receive its
+        // heartbeats too rarely.
+        let is_required = !self.is_large_site() || self.preferred.contains(&self.settings.address);
         let peer = self.peers.get(&old.address).filter(|_| is_required)?;
         let is_recent = |at: &CoreTime| self.age(*at) < RELIED_CONTACT_AGE;
-        let mutual = peer.echo.is_mutual() && peer.echo.contact().as_ref().is_some_and(is_recent);
+        let mutual = peer.echo.is_mutual()
+            && peer
+                .echo
+                .last_acknowledged()
+                .as_ref()
+                .is_some_and(is_recent);
         let same_life = peer.heartbeat.life == old.life;
         peer.echo
             .last_contact()
@@ -303,7 +307,10 @@
             return false;
         };
         let since = lead.confirmed_at.saturating_sub(CONTACT_MEMORY);
-        let contacts = self.peers.values().filter_map(|peer| peer.echo.contact());
+        let contacts = self
+            .peers
+            .values()
+            .filter_map(|peer| peer.echo.last_acknowledged());
         let last = contacts.filter(|at| *at >= since).max();
         let too_long = |at: CoreTime| self.age(at) > CUT_OFF_AFTER;
         too_long(lead.confirmed_at) && last.is_some_and(too_long)
@@ -315,7 +322,9 @@
         let since = last_confirmed.saturating_sub(CONTACT_MEMORY);
         let mut contacts = self.peers.iter().filter_map(|(address, peer)| {
             let may_rely = !self.has_slow_heartbeat(*address) && !peer.heartbeat.stopping;
-            peer.echo.contact().filter(|at| may_rely && *at >= since)
+            peer.echo
+                .last_acknowledged()
+                .filter(|at| may_rely && *at >= since)
         });
         let Some(first) = contacts.next() else {
             return self.peers.is_empty();
--- a/crates/bankvalve_queue/src/core/lead_confirmation.rs
+++ b/crates/bankvalve_queue/src/core/lead_confirmation.rs
@@ -24,7 +24,7 @@
             None => CONFIRM_INTERVAL,
         };
         let due = now.saturating_sub(lead.confirmed_at) > interval && now >= lead.next_confirm;
-        let wanted = !lead.confirm_waiting.is_empty() || due;
+        let wanted = !lead.requests_awaiting_confirmation.is_empty() || due;
         if !wanted || lead.confirming.is_some() {
             return;
         }
@@ -36,7 +36,7 @@
             from: String::new(),
             limit: None,
         };
-        self.note_store_request();
+        self.record_store_request();
         self.send_store_request(StorePurpose::Confirm, request);
     }
 
@@ -50,24 +50,24 @@
         let StoreOutcome::Rows { rows, .. } = outcome else {
             return;
         };
-        lead.note_store_answer();
+        lead.record_store_answer();
         if !rows.iter().any(|row| row.version == lead.row_version) {
             self.step_down("the leader's row has changed");
             self.handle_leader_rows(rows);
             return;
         }
         lead.confirmed_at = lead.confirmed_at.max(read_sent_at);
-        if lead.flight.is_none() {
+        if lead.in_flight_commit.is_none() {
             lead.unavailable_since = None;
         }
         if !lead.loaded {
             return;
         }
-        let waiting = std::mem::take(&mut lead.confirm_waiting);
+        let waiting = std::mem::take(&mut lead.requests_awaiting_confirmation);
         let (ready, later): (Vec<_>, Vec<_>) = waiting
             .into_iter()
             .partition(|waiting| waiting.at <= read_sent_at);
-        lead.confirm_waiting = later;
+        lead.requests_awaiting_confirmation = later;
         for waiting in ready {
             self.serve_confirmed(waiting);
         }
--- a/crates/bankvalve_queue/src/core/lead_state.rs
+++ b/crates/bankvalve_queue/src/core/lead_state.rs
@@ -37,8 +37,8 @@
 /// usable while the table is slow.
 const MAX_TIME_TO_COMMIT: Duration = Duration::from_millis(900);
 
-/// Gap between two events after which another instance may lead. It is shorter than the silence after
-/// which the first-ranked member claims the leadership.
+/// Gap between two events after which another instance may lead. It is shorter than the time without contact
+/// after which the first-ranked member claims leadership.
 const FREEZE_THRESHOLD: Duration = Duration::from_millis(600);
 
 /// How long the duration of an answered write counts as a measurement of this instance's link.
@@ -58,7 +58,7 @@
 const MIN_ANSWER_LIMIT: Duration = Duration::from_millis(80);
 
 /// Share of missed answers, in thousandths, above which answers count as late instead of lost. The
-/// platform loses a few answers out of ten, seldom four.
+/// platform loses a few answers out of ten, rarely four.
 const MOSTLY_MISSED_PERMILLE: u32 = 650;
 /// Number of answers over which the share of missed answers is averaged.
 const MISS_WINDOW: u32 = 24;
@@ -96,9 +96,10 @@
     pub(super) limit: CoreTime,
 }
 
-/// A request about an unknown job, held until this instance has confirmed that it leads.
+/// A request that is answered once this instance has confirmed that it leads: one about an unknown job, or a
+/// status request for an open job while another instance may lead.
 #[derive(Debug)]
-pub(super) struct UnknownJobRequest {
+pub(super) struct UnconfirmedRequest {
     pub(super) at: CoreTime,
     pub(super) origin: Origin,
     pub(super) caller: CallerIdentity,
@@ -109,7 +110,9 @@
 #[derive(Debug)]
 pub(super) struct LeadState {
     pub(super) epoch: u64,
+    /// Version of the leader's row that this instance wrote.
     pub(super) row_version: u64,
+    /// When this leadership began.
     pub(super) began_at: CoreTime,
     /// Whether the entire ledger has been read.
     pub(super) loaded: bool,
@@ -125,14 +128,17 @@
     pub(super) unanswered_since: Option<CoreTime>,
     /// Since when the heartbeats have reported that the table does not answer.
     pub(super) trouble_since: Option<CoreTime>,
+    /// When the pending read of this leader's row was sent.
     pub(super) confirming: Option<CoreTime>,
     pub(super) next_confirm: CoreTime,
     /// Since when the table has refused all writes, with none in flight.
     pub(super) unavailable_since: Option<CoreTime>,
-    pub(super) confirm_waiting: Vec<UnknownJobRequest>,
+    pub(super) requests_awaiting_confirmation: Vec<UnconfirmedRequest>,
+    /// Number of the last committed batch.
     pub(super) sequence: u64,
+    /// Proposals that wait for the next write.
     pub(super) pending: VecDeque<Proposal>,
-    pub(super) flight: Option<InFlightCommit>,
+    pub(super) in_flight_commit: Option<InFlightCommit>,
     pub(super) next_commit_at: CoreTime,
     /// Moving average of the time that a write takes.
     pub(super) commit_time: Duration,
@@ -140,23 +146,24 @@
     last_commit: Option<(Duration, CoreTime)>,
     /// Moving average of the time from the proposal of a start to its order.
     order_delay: Duration,
+    /// Number of uncommitted events of each job that has any.
     pub(super) uncommitted: BTreeMap<JobId, u32>,
     /// Open jobs for which a worker has reported that a task started.
-    pub(super) begun: BTreeSet<JobId>,
+    pub(super) started_jobs: BTreeSet<JobId>,
     /// Suspects in trial runs, and the worker process that each was sent to.
     pub(super) trials: BTreeMap<TaskKey, Incarnation>,
     /// Workers lost recently, except those whose end counts against a task.
     pub(super) worker_losses: Vec<WorkerLoss>,
     /// How often each task was stopped because its run was overdue.
-    pub(super) moves: BTreeMap<TaskKey, u32>,
+    pub(super) overdue_stops: BTreeMap<TaskKey, u32>,
     /// Since when steps have waited for capacity for all of their tasks.
     pub(super) capacity_waits: BTreeMap<StepKey, CoreTime>,
     /// When to plan capacity again for steps for which no plan was found.
-    pub(super) plan_pauses: BTreeMap<StepKey, CoreTime>,
+    pub(super) next_plan_at: BTreeMap<StepKey, CoreTime>,
     /// Capacity claimed for steps that wait for it.
     pub(super) capacity_claims: BTreeMap<StepKey, CapacityClaim>,
     /// How often each task was stopped to reclaim its capacity.
-    pub(super) stops: BTreeMap<TaskKey, u32>,
+    pub(super) preemptions: BTreeMap<TaskKey, u32>,
     /// Jobs whose end is not committed yet.
     pub(super) ending: BTreeSet<JobId>,
     pub(super) worker_states: WorkerMap,
@@ -174,13 +181,16 @@
     miss_wait: Duration,
     /// Moving average of the share of missed answers, in thousandths.
     missed_permille: u32,
+    /// Steps with tasks that wait for placement.
     pub(super) waiting: BTreeMap<StepKey, WaitingStep>,
-    /// What each customer has running, as of the last placement.
+    /// What each customer has running, as of the last placement pass.
     pub(super) usage: CustomerUsage,
-    /// Steps that waited for their customer's limit at the last placement.
+    /// Steps that waited for their customer's limit at the last placement pass.
     pub(super) waiting_for_limit: BTreeMap<StepKey, LimitStatus>,
     pub(super) shares: CustomerShares,
+    /// Jobs that have changed since their waiting steps were last updated.
     pub(super) dirty_jobs: BTreeSet<JobId>,
+    /// Next repetition of each repeating job, by the time at which it is due.
     pub(super) due: BTreeSet<(WallMillis, JobId, u32)>,
     pub(super) advice: BTreeMap<StepKey, StepAdvice>,
     /// Steps of open jobs with long-running tasks, gangs excluded.
@@ -190,10 +200,11 @@
     pub(super) next_restart_preparation: CoreTime,
     /// Moving average, by queue, of the logarithm of measured to estimated run time.
     pub(super) estimate_error: BTreeMap<String, f64>,
+    /// When each adviser is expected to have answered all its advice requests.
     pub(super) adviser_busy: BTreeMap<PeerAddress, CoreTime>,
-    /// Whether free capacity, permits or waiting steps have changed since the last placement.
+    /// Whether free capacity, permits or waiting steps have changed since the last placement pass.
     pub(super) placement_due: bool,
-    pub(super) place_at: CoreTime,
+    pub(super) next_placement: CoreTime,
     /// When to scan all workers again for due polls and due orders.
     pub(super) next_poll_scan: CoreTime,
     pub(super) next_order_scan: CoreTime,
@@ -225,23 +236,23 @@
             confirming: None,
             next_confirm: now,
             unavailable_since: None,
-            confirm_waiting: Vec::new(),
+            requests_awaiting_confirmation: Vec::new(),
             sequence: 0,
             pending: VecDeque::new(),
-            flight: None,
+            in_flight_commit: None,
             next_commit_at: now,
             commit_time: Duration::ZERO,
             last_commit: None,
             order_delay: Duration::ZERO,
             uncommitted: BTreeMap::new(),
-            begun: BTreeSet::new(),
+            started_jobs: BTreeSet::new(),
             trials: BTreeMap::new(),
             worker_losses: Vec::new(),
-            moves: BTreeMap::new(),
+            overdue_stops: BTreeMap::new(),
             capacity_waits: BTreeMap::new(),
-            plan_pauses: BTreeMap::new(),
+            next_plan_at: BTreeMap::new(),
             capacity_claims: BTreeMap::new(),
-            stops: BTreeMap::new(),
+            preemptions: BTreeMap::new(),
             ending: BTreeSet::new(),
             worker_states: WorkerMap::default(),
             wait_tracker: WaitTracker::default(),
@@ -265,7 +276,7 @@
             estimate_error: BTreeMap::new(),
             adviser_busy: BTreeMap::new(),
             placement_due: true,
-            place_at: now,
+            next_placement: now,
             next_poll_scan: now,
             next_order_scan: now,
             due_orders: BTreeSet::new(),
@@ -284,7 +295,7 @@
     }
 
     /// Schedules an order for a run.
-    pub(super) fn have_order_due(&mut self, at: CoreTime, worker: &WorkerId, task: TaskKey) {
+    pub(super) fn schedule_order(&mut self, at: CoreTime, worker: &WorkerId, task: TaskKey) {
         self.due_orders.insert((at, worker.clone(), task));
     }
 
@@ -323,17 +334,17 @@
 
     /// Returns whether there are events to commit or tasks to place soon.
     pub(super) fn is_busy(&self) -> bool {
-        self.placement_due || (self.flight.is_none() && !self.pending.is_empty())
+        self.placement_due || (self.in_flight_commit.is_none() && !self.pending.is_empty())
     }
 
     /// Records that the table has answered a request.
-    pub(super) fn note_store_answer(&mut self) {
+    pub(super) fn record_store_answer(&mut self) {
         self.unanswered_since = None;
     }
 
     /// Records the time since the previous event. A long gap means that the machine was suspended or
     /// the process was frozen.
-    pub(super) fn note_pause(&mut self, pause: Duration, now: CoreTime) {
+    pub(super) fn record_pause(&mut self, pause: Duration, now: CoreTime) {
         if pause > FREEZE_THRESHOLD {
             self.resumed_at = now;
             self.next_confirm = now;
@@ -346,7 +357,7 @@
     }
 
     /// Records the duration of an answered write.
-    pub(super) fn note_commit(&mut self, took: Duration, now: CoreTime) {
+    pub(super) fn record_commit(&mut self, took: Duration, now: CoreTime) {
         self.commit_time = (self.commit_time + took) / 2;
         self.last_commit = Some((took, now));
     }
@@ -371,7 +382,7 @@
     }
 
     /// Records the time in which a worker answered an order.
-    pub(super) fn note_answer(&mut self, took: Duration) {
+    pub(super) fn record_answer_time(&mut self, took: Duration) {
         self.answer_time = if took > self.answer_time {
             (self.answer_time * 3 + took) / 4
         } else {
@@ -381,7 +392,7 @@
 
     /// Records that a worker with recent contact has missed the time limit for an answer. If most
     /// answers are missed, they are late rather than lost, and the limit rises.
-    pub(super) fn note_miss(&mut self) {
+    pub(super) fn record_missed_answer(&mut self) {
         self.missed_permille += (1_000 - self.missed_permille) / MISS_WINDOW;
         if self.missed_permille > MOSTLY_MISSED_PERMILLE {
             let more = (self.miss_wait + MISS_WAIT_STEP) * 9 / 8;
@@ -390,7 +401,7 @@
     }
 
     /// Records that a worker has answered within the time limit.
-    pub(super) fn note_in_time(&mut self) {
+    pub(super) fn record_answer_in_time(&mut self) {
         self.missed_permille -= self.missed_permille / MISS_WINDOW;
         self.miss_wait = self.miss_wait * 15 / 16;
     }
@@ -402,7 +413,7 @@
     }
 
     /// Records the time from the proposal of a start to its order.
-    pub(super) fn note_order_delay(&mut self, wait: Duration) {
+    pub(super) fn record_order_delay(&mut self, wait: Duration) {
         self.order_delay = (self.order_delay * 3 + wait) / 4;
     }
 
@@ -427,7 +438,7 @@
         let Some(lead) = self.lead.as_deref_mut() else {
             return;
         };
-        lead.load.note(now, lag);
+        lead.load.record_wait(now, lag);
         self.run_confirm();
         self.run_loading();
         // Ended runs can be handled only once their jobs are known.
@@ -439,7 +450,7 @@
             self.run_orders();
             self.refresh_dirty_jobs();
             self.prepare_restarts();
-            self.run_placing();
+            self.run_placement();
             self.run_advice();
         }
         self.run_commit();
@@ -494,13 +505,13 @@
             book.job(job)
                 .is_some_and(|job| job.outcome == JobOutcome::Open)
         };
-        lead.begun.retain(|job| open(*job));
+        lead.started_jobs.retain(|job| open(*job));
         lead.shares.retain(open);
-        lead.moves.retain(|task, _| open(task.step.job));
-        lead.stops.retain(|task, _| open(task.step.job));
+        lead.overdue_stops.retain(|task, _| open(task.step.job));
+        lead.preemptions.retain(|task, _| open(task.step.job));
         lead.capacity_waits.retain(|step, _| open(step.job));
         lead.capacity_claims.retain(|step, _| open(step.job));
-        lead.plan_pauses.retain(|step, _| open(step.job));
+        lead.next_plan_at.retain(|step, _| open(step.job));
         lead.advice.retain(|step, _| open(step.job));
         lead.waiting_counts.clear();
     }
--- a/crates/bankvalve_queue/src/core/members.rs
+++ b/crates/bankvalve_queue/src/core/members.rs
@@ -99,7 +99,7 @@
         peer.strength = row.map_or(peer.strength, |row| row.strength);
     }
 
-    /// Sends the heartbeats that are due, and gives their round-trip time to the load limit.
+    /// Sends the heartbeats that are due, and updates the load limit with their round-trip time.
     pub(super) fn run_heartbeats(&mut self) {
         if self.now < self.next_heartbeat {
             return;
@@ -123,7 +123,7 @@
         if let Some(lead) = self.lead.as_deref_mut() {
             lead.round_trip_time = round_trip;
             lead.load
-                .note(self.now, round_trip.min(lead.link_delay(self.now)));
+                .record_wait(self.now, round_trip.min(lead.link_delay(self.now)));
         }
         self.send_measurements();
         self.remove_lost_members();
@@ -193,8 +193,8 @@
     }
 
     pub(super) fn handle_heartbeat(&mut self, from: PeerAddress, heartbeat: HeartbeatBody) {
-        self.note_announced_version(from, heartbeat.table_version);
-        self.note_newest_version(heartbeat.table_version, heartbeat.table_age_ms);
+        self.record_announced_version(from, heartbeat.table_version);
+        self.record_newest_version(heartbeat.table_version, heartbeat.table_age_ms);
         self.finish_outgoing_copy(from, heartbeat.table_version);
         if let Some(lead) = &self.lead {
             if heartbeat.epoch > lead.epoch {
@@ -206,7 +206,7 @@
         }
         self.update_leader_contact(from, &heartbeat);
         if heartbeat.leading {
-            self.note_leader_heartbeat(from, &heartbeat);
+            self.handle_leader_heartbeat(from, &heartbeat);
         } else if self.is_new_process_of_leader(from, &heartbeat) {
             self.mark_leader_gone();
             if let Some(leader) = self.leader.as_mut() {
@@ -214,7 +214,7 @@
             }
         }
         let now = self.now;
-        self.former_leaders.note_heartbeat(from, &heartbeat, now);
+        self.former_leaders.record_heartbeat(from, &heartbeat, now);
         let slow = self.has_slow_heartbeat(from);
         let peer = self.peers.entry(from).or_insert_with(|| PeerView {
             known_at: now,
@@ -230,9 +230,9 @@
         peer.last_contact = Some(now);
         peer.strength = heartbeat.strength;
         peer.slow = slow;
-        peer.echo.note(now, &heartbeat);
+        peer.echo.record_heartbeat(now, &heartbeat);
         peer.heartbeat = heartbeat;
-        self.note_unreachable_leaders();
+        self.record_unreachable_leaders();
         if answer_now && self.lead.is_some() {
             // The peer should learn who leads without waiting for the next heartbeat.
             let heartbeat = self.heartbeat_for(from, &self.build_heartbeat());
@@ -243,8 +243,8 @@
     /// Updates the last contact with the leader from the report of a preferred member on a large
     /// site.
     ///
-    /// Only other members do so. Preferred members are in contact with the leader themselves, and
-    /// their reports must not come back to them.
+    /// Only members that are not preferred use these reports. Preferred members are in contact with the
+    /// leader themselves, and must not rely on reports that are based on their own.
     fn update_leader_contact(&mut self, from: PeerAddress, heartbeat: &HeartbeatBody) {
         if !self.is_behind_hubs() || !self.preferred.contains(&from) || heartbeat.leading {
             return;
@@ -277,7 +277,7 @@
         } else {
             "no answer or no connection in time"
         };
-        // Logged only while the peer counts as alive: messages to a lost one are tried for a minute.
+        // Logged only while the peer counts as alive, because messages are sent to a lost peer for a minute.
         let is_live = |view: &PeerView| view.is_live(self.now);
         if self.peers.get(&peer).is_some_and(is_live) {
             self.log("members", "unreached", peer.to_string(), why.to_owned());
--- a/crates/bankvalve_queue/src/core/placement.rs
+++ b/crates/bankvalve_queue/src/core/placement.rs
@@ -70,8 +70,8 @@
     apart_from_new: Vec<TaskKey>,
     /// Workers that ended under the isolated suspects. Another end of the same worker would add no evidence.
     pub(super) crashed_workers: Vec<WorkerId>,
-    /// Whether a long-running task among them is past its restart deadline, so that workers in back-off are
-    /// eligible too.
+    /// Whether one of the tasks is long-running and past its restart deadline, so that workers in back-off
+    /// are eligible too.
     pub(super) past_deadline: bool,
 }
 
@@ -126,7 +126,8 @@
 }
 
 impl EntryCore {
-    pub(super) fn run_placing(&mut self) {
+    /// Runs a placement pass if one is due.
+    pub(super) fn run_placement(&mut self) {
         let now = self.now;
         let by_time = self.uses(PolicySwitch::LatestStart);
         // Without a configuration, the customers' limits are unknown.
@@ -134,15 +135,15 @@
         let Some(lead) = self.lead.as_deref_mut() else {
             return;
         };
-        if !lead.workers_known || blocked || now < lead.place_at {
+        if !lead.workers_known || blocked || now < lead.next_placement {
             return;
         }
-        let idle = now.saturating_sub(lead.place_at) < IDLE_PLACEMENT_INTERVAL;
+        let idle = now.saturating_sub(lead.next_placement) < IDLE_PLACEMENT_INTERVAL;
         if !lead.placement_due && idle {
             return;
         }
         lead.placement_due = false;
-        lead.place_at = now + MIN_PLACEMENT_INTERVAL;
+        lead.next_placement = now + MIN_PLACEMENT_INTERVAL;
         let wall = self.wall;
         let mut ranked: Vec<(WaitingRank, StepKey)> = lead
             .waiting
@@ -158,21 +159,21 @@
             })
             .collect();
         ranked.sort_unstable();
-        self.begin_usage();
-        self.leave_out_at_limit(&mut ranked);
-        self.note_backlog();
+        self.sum_usage_for_placement();
+        self.remove_steps_at_limit(&mut ranked);
+        self.record_backlog();
         let Some(lead) = self.lead.as_deref_mut() else {
             return;
         };
         ranked.truncate(MAX_STEPS_PER_PASS);
-        lead.place_at += PLACEMENT_INTERVAL_PER_STEP * ranked.len() as u32;
+        lead.next_placement += PLACEMENT_INTERVAL_PER_STEP * ranked.len() as u32;
         let largest_free = lead.max_free();
         let considered = ranked.len() as u64;
         self.counters
             .count_many("placements", "steps_looked_at", considered);
         for (_, key) in ranked {
             if !self.may_fit(key, &largest_free) {
-                self.note_capacity_wait(key);
+                self.record_capacity_wait(key);
                 if !self.may_reclaim_capacity(key) {
                     continue;
                 }
@@ -212,8 +213,9 @@
         (!step.tasks.is_empty()).then_some(step)
     }
 
-    /// Prepares tasks of a step for a start beside any other runs, whether the tasks wait yet or not.
-    pub(super) fn due_step(&self, key: StepKey, tasks: Vec<TaskKey>) -> Option<StepToPlace> {
+    /// Returns a step with only these tasks, which may still be running. They may start beside any other
+    /// runs.
+    pub(super) fn step_to_restart(&self, key: StepKey, tasks: Vec<TaskKey>) -> Option<StepToPlace> {
         self.new_step_to_place(key, (tasks, Vec::new(), Vec::new()))
     }
 
@@ -381,7 +383,7 @@
         let mut unasked = Vec::new();
         if !is_complete && can_request {
             let allowed: Vec<(&WorkerId, &WorkerState)> =
-                advice.good().filter_map(eligible).collect();
+                advice.allowed_workers().filter_map(eligible).collect();
             let wider = assign_workers(step, &allowed, now);
             if wider.len() > assignment.len() {
                 request = workers_to_ask(&wider);
@@ -394,9 +396,9 @@
         let placed: Vec<TaskKey> = assignment.iter().map(|(task, _)| *task).collect();
         self.start_assignment(step, assignment);
         let needs_capacity = can_request && request.is_empty();
-        // It could take long until enough capacity for a gang becomes free by chance, however many workers it
-        // asks about. So capacity is first reclaimed on the workers that may run it, if there are enough of
-        // them.
+        // A gang may wait long until enough capacity happens to be free, however many workers may run it. So
+        // its capacity is first reclaimed on the workers that are known to be allowed. Advice about further
+        // workers is requested only if that does not succeed.
         if is_complete || (needs_capacity && (unasked.is_empty() || step.spec.gang)) {
             self.update_capacity_claim(step, placed.len());
         }
@@ -438,7 +440,7 @@
             self.drop_capacity_claim(step.key);
             return;
         }
-        self.note_capacity_wait(step.key);
+        self.record_capacity_wait(step.key);
         if self.may_reclaim_capacity(step.key) {
             self.reclaim_capacity(step, missing);
         }
@@ -493,7 +495,7 @@
                 .get(&step.key)
                 .and_then(|advice| advice.permit(&worker, now))
                 .map(str::to_owned);
-            let trial = lead.worker_states.incarnation_of(&worker);
+            let incarnation = lead.worker_states.incarnation_of(&worker);
             let Some(state) = lead.worker_states.get_mut(&worker) else {
                 continue;
             };
@@ -505,7 +507,8 @@
             if step.isolated.contains(&task) || step.apart_from_new.contains(&task) {
                 live.on_trial = true;
                 live.resources = state.entry.room.minus(&state.used);
-                lead.trials.extend(trial.map(|trial| (task, trial)));
+                lead.trials
+                    .extend(incarnation.map(|incarnation| (task, incarnation)));
             }
             state.add_run(task, live);
             let left = state.entry.room.minus(&state.used).millicores;
--- a/crates/bankvalve_queue/src/core/round_trip.rs
+++ b/crates/bankvalve_queue/src/core/round_trip.rs
@@ -13,7 +13,8 @@
 use crate::ids::CoreTime;
 use crate::peer::{HeartbeatBody, HeartbeatEcho, PeerAddress};
 
-/// Number of peers that must be alive before their echoes say anything about this instance's link.
+/// Minimum number of live preferred members with echoes for their round trips to say anything about this
+/// instance's link.
 const MIN_PEERS: usize = 2;
 /// Time between two echoes from a preferred member if one is lost: two heartbeats.
 const MAX_ECHO_INTERVAL: Duration = Duration::from_millis(320);
@@ -26,18 +27,18 @@
 pub(super) struct PeerEcho {
     /// Send time of its last heartbeat in milliseconds, by the peer's clock, and time of arrival.
     last_heartbeat: Option<(u64, CoreTime)>,
-    /// When the first heartbeat of its present process arrived.
+    /// When the first heartbeat of its current process arrived.
     first_heartbeat: Option<CoreTime>,
     /// The last round-trip time, and when its echo arrived.
     last_round_trip: Option<(Duration, CoreTime)>,
     /// Send time, by this instance's clock, of the last heartbeat that the peer is known to have
     /// received.
-    contact: Option<CoreTime>,
+    last_acknowledged: Option<CoreTime>,
 }
 
 impl PeerEcho {
     /// Records a heartbeat and its echo.
-    pub(super) fn note(&mut self, now: CoreTime, heartbeat: &HeartbeatBody) {
+    pub(super) fn record_heartbeat(&mut self, now: CoreTime, heartbeat: &HeartbeatBody) {
         self.last_heartbeat = Some((heartbeat.sent_ms, now));
         self.first_heartbeat.get_or_insert(now);
         let Some(echo) = &heartbeat.echo else {
@@ -48,14 +49,14 @@
         // An earlier process of this instance may have sent the heartbeat that is echoed.
         let sent_at = Duration::from_millis(echo.sent_ms);
         if sent_at <= now {
-            self.contact = self.contact.max(Some(sent_at));
+            self.last_acknowledged = self.last_acknowledged.max(Some(sent_at));
         }
     }
 
     /// Returns the send time of the last heartbeat that the peer is known to have received. The arrival
     /// time of its echo would be wrong: the echo may have waited while this instance was frozen.
-    pub(super) fn contact(&self) -> Option<CoreTime> {
-        self.contact
+    pub(super) fn last_acknowledged(&self) -> Option<CoreTime> {
+        self.last_acknowledged
     }
 
     /// Returns when its last heartbeat arrived.
@@ -66,8 +67,8 @@
     /// Returns whether the peer knows that this instance receives its heartbeats. It then counts this
     /// instance as in mutual contact.
     pub(super) fn is_mutual(&self) -> bool {
-        let times = self.first_heartbeat.zip(self.contact);
-        times.is_some_and(|(first, contact)| contact >= first)
+        let times = self.first_heartbeat.zip(self.last_acknowledged);
+        times.is_some_and(|(first, last_acknowledged)| last_acknowledged >= first)
     }
 
     fn echo(&self, now: CoreTime) -> Option<HeartbeatEcho> {
@@ -76,7 +77,7 @@
         Some(HeartbeatEcho { sent_ms, held_ms })
     }
 
-    /// Returns the present round-trip time. If an echo is overdue, the round trip takes at least as
+    /// Returns the current round-trip time. If an echo is overdue, the round trip takes at least as
     /// long as it has been overdue.
     fn round_trip(&self, now: CoreTime) -> Option<Duration> {
         let (measured, at) = self.last_round_trip?;
--- a/crates/bankvalve_queue/src/core/store_link.rs
+++ b/crates/bankvalve_queue/src/core/store_link.rs
@@ -45,6 +45,7 @@
         sequence: u64,
         sent_at: CoreTime,
     },
+    /// Read of the leader's row by the leader, to confirm its leadership.
     Confirm,
     /// A page of the ledger that starts at a batch.
     ReadLedger {
@@ -53,8 +54,10 @@
     LeaderRow,
     ReadCell,
     WatchCell,
-    Operator,
-    AskOperator,
+    /// Read or watch of the operator's configuration.
+    WatchConfig,
+    /// Query for a newer configuration than the watch has delivered.
+    QueryConfig,
     /// Workers' entries: a page of all of them, or their changes since a version.
     Workers {
         full: bool,
@@ -62,6 +65,7 @@
         scan: u64,
     },
     DropMember,
+    /// Read of the leader's row by a follower, to find out whether the table answers it.
     Probe,
 }
 
@@ -175,13 +179,13 @@
             }
             StorePurpose::Confirm => self.end_confirm(&outcome),
             StorePurpose::ReadLedger { from } => {
-                self.end_ledger_page(from, pending_request.asked_at, outcome);
+                self.end_ledger_page(from, pending_request.sent_at, outcome);
             }
             StorePurpose::LeaderRow => self.end_leader_row(&outcome),
             StorePurpose::ReadCell => self.end_read_cell(outcome),
             StorePurpose::WatchCell => self.end_watch_cell(outcome),
-            StorePurpose::Operator => self.end_operator(outcome),
-            StorePurpose::AskOperator => self.end_ask_operator(outcome),
+            StorePurpose::WatchConfig => self.end_config_watch(outcome),
+            StorePurpose::QueryConfig => self.end_config_query(outcome),
             StorePurpose::Workers { full, scan } => self.end_workers(outcome, full, scan),
             StorePurpose::DropMember => {}
             StorePurpose::Probe => self.end_probe(&outcome),
@@ -250,7 +254,7 @@
             } => {
                 let last = entries.last().map(|(id, _)| id.to_string());
                 if full {
-                    self.entry_scan.note_page(&entries, version);
+                    self.entry_scan.record_scan_page(&entries, version);
                 }
                 self.handle_worker_entries(entries, full);
                 if more {
--- a/crates/bankvalve_queue/src/core/table_watch.rs
+++ b/crates/bankvalve_queue/src/core/table_watch.rs
@@ -103,13 +103,13 @@
 impl EntryCore {
     /// Watches the configuration, and queries it if the watch is not enough.
     pub(super) fn run_table(&mut self) {
-        self.watch_operator();
-        self.ask_operator();
+        self.watch_config();
+        self.query_config();
         self.run_pull();
-        self.end_old_lookups();
+        self.expire_lookups();
     }
 
-    fn watch_operator(&mut self) {
+    fn watch_config(&mut self) {
         let now = self.now;
         let tables = &mut self.tables;
         // The answer to a query contains the same changes.
@@ -125,12 +125,12 @@
                 StoreRequest::WatchOperator { after, wait_ms }
             }
         };
-        self.send_store_request(StorePurpose::Operator, request);
+        self.send_store_request(StorePurpose::WatchConfig, request);
     }
 
     /// Queries the table for a newer version, if a peer has announced one or the configuration in force
     /// denies a caller's request. Only one query is in flight at a time.
-    fn ask_operator(&mut self) {
+    fn query_config(&mut self) {
         let now = self.now;
         let behind = self.is_behind_announced();
         let tables = &mut self.tables;
@@ -155,7 +155,7 @@
             complete,
         });
         self.counters.count("config", "question");
-        self.send_store_request(StorePurpose::AskOperator, request);
+        self.send_store_request(StorePurpose::QueryConfig, request);
     }
 
     /// Returns whether a peer has announced a newer version than the one in force here.
@@ -170,7 +170,7 @@
     }
 
     /// Records that a peer with this version in force knew it to be the newest `age_ms` ago.
-    pub(super) fn note_newest_version(&mut self, version: u64, age_ms: Option<u64>) {
+    pub(super) fn record_newest_version(&mut self, version: u64, age_ms: Option<u64>) {
         let Some(age_ms) = age_ms.filter(|_| version == self.table_version()) else {
             return;
         };
@@ -189,7 +189,7 @@
     }
 
     /// Records the version that a peer has in force.
-    pub(super) fn note_announced_version(&mut self, from: PeerAddress, version: u64) {
+    pub(super) fn record_announced_version(&mut self, from: PeerAddress, version: u64) {
         let in_force = self.table_version();
         if version <= in_force || version <= self.tables.announced {
             return;
@@ -209,7 +209,7 @@
         let purpose = request.map(|request| &request.purpose);
         if matches!(
             purpose,
-            Some(StorePurpose::Operator | StorePurpose::AskOperator)
+            Some(StorePurpose::WatchConfig | StorePurpose::QueryConfig)
         ) {
             self.extend_store_request(ticket);
             self.tables.arriving = Some(ticket);
@@ -225,14 +225,14 @@
     }
 
     /// Handles the result of the watch on the configuration.
-    pub(super) fn end_operator(&mut self, outcome: StoreOutcome) {
+    pub(super) fn end_config_watch(&mut self, outcome: StoreOutcome) {
         let now = self.now;
         self.tables.watch.busy = false;
         match outcome {
             StoreOutcome::Operator { news, version } => {
                 let changed = news.table.is_some();
                 let sent_at = self.tables.watch_sent;
-                let read = self.handle_operator_news(news, version, sent_at);
+                let read = self.handle_config_news(news, version, sent_at);
                 let watch = &mut self.tables.watch;
                 watch.failures = 0;
                 if !read {
@@ -248,14 +248,14 @@
     }
 
     /// Handles the result of a configuration query.
-    pub(super) fn end_ask_operator(&mut self, outcome: StoreOutcome) {
+    pub(super) fn end_config_query(&mut self, outcome: StoreOutcome) {
         let now = self.now;
         let Some(query) = self.tables.query.take() else {
             return;
         };
         match outcome {
             StoreOutcome::Operator { news, version } => {
-                let read = self.handle_operator_news(news, version, query.sent_at);
+                let read = self.handle_config_news(news, version, query.sent_at);
                 let tables = &mut self.tables;
                 tables.query_failures = 0;
                 tables.next_query_at = now
@@ -297,14 +297,9 @@
         }
     }
 
-    /// Handles the table's answer to a request that was sent at `asked_at`. Returns whether the
+    /// Handles the table's answer to a request that was sent at `sent_at`. Returns whether the
     /// configuration in it could be read.
-    fn handle_operator_news(
-        &mut self,
-        news: OperatorNews,
-        version: u64,
-        asked_at: CoreTime,
-    ) -> bool {
+    fn handle_config_news(&mut self, news: OperatorNews, version: u64, sent_at: CoreTime) -> bool {
         if news.table.is_none() && !news.raw.is_empty() {
             let detail = format!("{} bytes at version {version}", news.raw.len());
             self.log("config", "unreadable", String::new(), detail);
@@ -317,7 +312,7 @@
         if let Some(table) = news.table {
             self.use_table(table, news.raw, TableSource::Table);
         }
-        self.record_newest_at(asked_at);
+        self.record_newest_at(sent_at);
         true
     }
 
@@ -342,12 +337,12 @@
         );
         self.log("config", "in_force", version.to_string(), detail);
         self.actions.push(CoreAction::UseTable(table.clone()));
-        self.note_limits(&table);
+        self.apply_limits(&table);
         let services: Vec<String> = table
             .queues()
             .map(|queue| queue.terms.service.clone())
             .collect();
-        self.note_services_in_use(services);
+        self.add_services_in_use(services);
         self.table = Some(table);
         self.tables.raw = raw;
         self.tables.in_force_since = self.now;
--- a/crates/bankvalve_queue/src/core/worker_entries.rs
+++ b/crates/bankvalve_queue/src/core/worker_entries.rs
@@ -33,7 +33,7 @@
 /// A scan of all workers' entries, which arrive in pages.
 #[derive(Debug, Default)]
 pub(super) struct EntryScan {
-    /// Number of the scan, which tells apart the answers to an earlier scan.
+    /// Number of the scan, by which answers to an earlier scan are recognized.
     number: u64,
     /// Version of the table at the first page. A change to an entry of a page that was already read
     /// appears only in the change feed after this version.
@@ -56,7 +56,7 @@
     }
 
     /// Records the workers on a page, read at a version of the table.
-    pub(super) fn note_page(&mut self, entries: &[(WorkerId, WorkerRow)], version: u64) {
+    pub(super) fn record_scan_page(&mut self, entries: &[(WorkerId, WorkerRow)], version: u64) {
         self.version.get_or_insert(version);
         self.listed_ids
             .extend(entries.iter().map(|(id, _)| id.clone()));
@@ -127,7 +127,7 @@
     }
 
     /// Adds services that a queue or an open job names, so that their workers are polled.
-    pub(super) fn note_services_in_use(&mut self, services: impl IntoIterator<Item = String>) {
+    pub(super) fn add_services_in_use(&mut self, services: impl IntoIterator<Item = String>) {
         let known = self.services.len();
         self.services.extend(services);
         if self.services.len() == known {
@@ -195,11 +195,11 @@
         let now = self.now;
         let mut placed: Vec<AdoptedRun> = Vec::new();
         let mut open = Vec::new();
-        let mut begun = Vec::new();
+        let mut jobs_with_done_task = Vec::new();
         for job in self.book.jobs() {
             if job.outcome == JobOutcome::Open {
                 open.push(job.spec.id);
-                begun.extend(job.has_done_task().then_some(job.spec.id));
+                jobs_with_done_task.extend(job.has_done_task().then_some(job.spec.id));
             }
             for (time, record) in &job.times {
                 for (number, step) in record.steps.iter().enumerate() {
@@ -230,7 +230,7 @@
             .jobs()
             .filter(|job| job.outcome == JobOutcome::Open);
         let services: Vec<String> = jobs.map(|job| job.terms.service.clone()).collect();
-        self.note_services_in_use(services);
+        self.add_services_in_use(services);
         let detail = format!(
             "{} open jobs, {} runs, last batch {}",
             open.len(),
@@ -242,7 +242,7 @@
             return;
         };
         lead.dirty_jobs.extend(open.iter().copied());
-        lead.begun.extend(begun);
+        lead.started_jobs.extend(jobs_with_done_task);
         for adopted in placed {
             lead.dirty_jobs.insert(adopted.task.step.job);
             let lease_stop = self.stopped_leases.state_of(&adopted.worker);
@@ -295,7 +295,7 @@
         );
         self.log("workers", "leaving", id.to_string(), detail);
         for task in to_stop {
-            self.begin_stop_run(id, task);
+            self.stop_run(id, task);
         }
     }
 }
--- a/crates/bankvalve_queue/src/core/worker_reports.rs
+++ b/crates/bankvalve_queue/src/core/worker_reports.rs
@@ -21,9 +21,9 @@
 const MIN_RUN_TIME_RATIO: f64 = 0.05;
 
 /// Run time beyond which the failure of a long-running task does not count against its worker. Such tasks may
-/// fail at any time and never end as done, so that nothing resets the count of failures: three failures
-/// within hours put a worker into back-off, and each later one for up to 24 s. A worker that fails what it
-/// starts does so within its shortest back-off.
+/// fail at any time and never end as done, so nothing would reset the count of failures: three failures
+/// within hours would put a worker into back-off, and so would each later one, for up to 24 s. On a worker
+/// that fails what it starts, runs fail within its shortest back-off.
 const START_FAILURE_WINDOW: Duration = Duration::from_secs(3);
 
 /// A run that ended with its worker.
@@ -81,7 +81,7 @@
             state.last_end_committed = end.number;
         }
         lead.placement_due = true;
-        lead.begun.insert(end.task.step.job);
+        lead.started_jobs.insert(end.task.step.job);
         let is_known_run = state
             .runs
             .get(&end.task)
@@ -109,13 +109,13 @@
                 .entry(queue.unwrap_or_default())
                 .or_insert(ratio);
             *error += ESTIMATE_ERROR_WEIGHT * (ratio - *error);
-            state.note_slowness(ratio - *error);
+            state.record_slowness(ratio - *error);
         }
         let may_back_off = self.settings.without != Some(PolicySwitch::FailureRest);
         let backs_off = match end.how {
-            EndKind::Done => state.note_result(job, true, now),
+            EndKind::Done => state.record_result(job, true, now),
             EndKind::Failed if may_back_off && !outlived_start => {
-                state.note_result(job, false, now)
+                state.record_result(job, false, now)
             }
             _ => false,
         };
@@ -199,7 +199,7 @@
                     state.remove_run(&key);
                 }
             } else {
-                self.begin_stop_run(&worker, key);
+                self.stop_run(&worker, key);
             }
         }
     }
@@ -227,7 +227,7 @@
     ) {
         let now = self.now;
         if let Some(lead) = self.lead.as_deref_mut().filter(|_| how != EndKind::Done) {
-            lead.wait_tracker.note_end(task, run, now);
+            lead.wait_tracker.record_end(task, run, now);
         }
         let event = LedgerEvent::Ended {
             task,
@@ -256,7 +256,7 @@
                     if matches!(live.phase, RunPhase::Adopted | RunPhase::Ordered) {
                         live.phase = RunPhase::Running { since: now };
                         lead.dirty_jobs.insert(report.task.step.job);
-                        lead.begun.insert(report.task.step.job);
+                        lead.started_jobs.insert(report.task.step.job);
                     }
                     live.listed_at = Some(now);
                     if !report.saved.is_empty() && live.saved != report.saved {
@@ -380,7 +380,7 @@
         });
     }
 
-    /// Declares a worker lost and ends all its runs, which are known to run no more.
+    /// Declares a worker lost and ends all its runs, which are known to have ended.
     pub(super) fn declare_worker_lost(&mut self, id: &WorkerId, end: ProcessEnd) {
         let now = self.now;
         let Some(lead) = self.lead.as_deref() else {
@@ -395,7 +395,7 @@
         let lost = |(task, live): (&TaskKey, &LiveRun)| LostRun {
             task: *task,
             run: live.run,
-            how: self.end_with_worker(state, &loss, task, live),
+            how: self.end_kind_with_worker(state, &loss, task, live),
             saved: live.saved.clone(),
             has_new_evidence: live.crash.is_none(),
             why: format!("{}, {}", end.as_str(), live.summary(now)),
@@ -405,7 +405,7 @@
         self.log("workers", "lost", id.to_string(), detail);
         self.counters.count("workers", "lost");
         let is_proof = |lost: &LostRun| matches!(lost.how, EndKind::Crashed(evidence) if evidence.weight == CrashWeight::Proof);
-        self.note_worker_loss(id, runs.iter().any(is_proof));
+        self.record_worker_loss(id, runs.iter().any(is_proof));
         for lost in runs {
             self.end_without_report(id, lost.task, lost.run, lost.how, lost.saved, &lost.why);
             if lost.has_new_evidence && matches!(lost.how, EndKind::Crashed(_)) {
--- a/crates/bankvalve_queue/src/core/worker_selection.rs
+++ b/crates/bankvalve_queue/src/core/worker_selection.rs
@@ -146,7 +146,7 @@
     /// Returns the rank of the worker for a step; the smallest is the best. The criteria, in this order:
     ///
     /// 1. Workers that are not in back-off.
-    /// 2. For suspects, workers known for longest: the loss of one that comes and goes is no evidence.
+    /// 2. For suspects, workers known for longest: the loss of one that leaves often is no evidence.
     /// 3. For gangs, which end with one failure, workers whose last run did not fail.
     /// 4. Workers near the step's data.
     /// 5. For urgent steps, fast workers.
@@ -280,7 +280,7 @@
         .worker_states
         .iter()
         .filter(|(id, state)| has_capacity(state) && is_eligible((id, state), step, now))
-        .filter(|(id, _)| !advice.is_known(id))
+        .filter(|(id, _)| !advice.has_answer_for(id))
         .collect();
     workers_with_most_free(step, &workers, advice_request_size(step), now)
 }
--- a/crates/bankvalve_queue/src/core/worker_state.rs
+++ b/crates/bankvalve_queue/src/core/worker_state.rs
@@ -106,6 +106,7 @@
     /// Number of this incarnation.
     pub(super) number: u64,
     pub(super) entry: WorkerEntry,
+    /// Whether the entry exists in the table, as last read.
     pub(super) listed: bool,
     /// Whether a queue or an open job names the worker's service.
     pub(super) service_in_use: bool,
@@ -131,6 +132,7 @@
     pub(super) lease_until: u64,
     pub(super) lease_stop: LeaseStop,
     pub(super) last_contact: Option<CoreTime>,
+    /// When this leader learned of the process.
     pub(super) known_at: CoreTime,
     /// Polls without an answer since the last contact.
     pub(super) unanswered: u32,
@@ -139,6 +141,7 @@
     pub(super) poll_wait: Duration,
     pub(super) next_poll: CoreTime,
     pub(super) runs: BTreeMap<TaskKey, LiveRun>,
+    /// Resources that the runs take.
     pub(super) used: TaskSize,
     pub(super) reserved: Vec<Reservation>,
     /// Start time of the process that answers, as reported with its last run lists.
@@ -153,9 +156,13 @@
     pub(super) last_end_acknowledged: u64,
     /// Logarithm of how much longer tasks take on this worker than on others.
     pub(super) slowness: f64,
+    /// Number of tasks that have been averaged into the slowness.
     measured: u32,
+    /// Consecutive failures. Several in a row of one job count as one.
     failures: u32,
+    /// Job of the last failure.
     failed_job: u64,
+    /// Back-offs since the last success.
     backoffs: u32,
     pub(super) backoff_until: CoreTime,
 }
@@ -322,7 +329,7 @@
         known.is_none_or(|(answers, wrote)| answers == wrote)
     }
 
-    /// Returns whether the ledger has ended runs that the process has not been told to drop.
+    /// Returns whether the ledger has ended runs whose acknowledgement the process has not confirmed.
     pub(super) fn has_unacknowledged_ends(&self) -> bool {
         self.last_end_committed > self.last_end_acknowledged
     }
@@ -346,7 +353,7 @@
     }
 
     /// Records a reading of the worker's clock from an answer.
-    pub(super) fn note_clock(&mut self, now: CoreTime, clock_ms: u64) {
+    pub(super) fn record_clock(&mut self, now: CoreTime, clock_ms: u64) {
         self.clock = Some((now, clock_ms));
     }
 
@@ -482,7 +489,7 @@
     }
 
     /// Records how much longer than usual for its queue a task took, as a logarithm.
-    pub(super) fn note_slowness(&mut self, excess: f64) {
+    pub(super) fn record_slowness(&mut self, excess: f64) {
         self.measured += 1;
         let weight = (1.0 / f64::from(self.measured + 1)).max(MIN_SLOWNESS_WEIGHT);
         let bounded = excess.clamp(-MAX_SLOWNESS_SAMPLE, MAX_SLOWNESS_SAMPLE);
@@ -495,7 +502,7 @@
     }
 
     /// Records how a run ended. Returns whether the worker's back-off starts.
-    pub(super) fn note_result(&mut self, job: u64, good: bool, now: CoreTime) -> bool {
+    pub(super) fn record_result(&mut self, job: u64, good: bool, now: CoreTime) -> bool {
         if good {
             self.failures = 0;
             self.backoffs = 0;
