--- a/crates/bankvalve/src/api/caller_api.rs
+++ b/crates/bankvalve/src/api/caller_api.rs
@@ -215,7 +215,7 @@
             RequestOutcome::Answered(status, body) => Ok(HttpAnswer::new(status, JSON, body)),
             RequestOutcome::NotRun(reason) => {
                 let detail = "no target took the request; it did not run";
-                let refusal = Refusal::passing(reason, detail, COME_BACK_MS);
+                let refusal = Refusal::temporary(reason, detail, COME_BACK_MS);
                 Err(Box::new(ErrorBody::refused("request", refusal)))
             }
             RequestOutcome::Unknown => {
@@ -232,7 +232,7 @@
             Ok(entries) => json(200, &entries),
             Err(detail) => {
                 let reason = RefusalReason::StoreUnavailable;
-                let refusal = Refusal::passing(reason, detail, COME_BACK_MS);
+                let refusal = Refusal::temporary(reason, detail, COME_BACK_MS);
                 Err(Box::new(ErrorBody::refused("record", refusal)))
             }
         }
@@ -295,7 +295,7 @@
     let Ok(level) = body.level.parse() else {
         let refusal = Refusal {
             field: Some("level".into()),
-            ..Refusal::lasting(
+            ..Refusal::permanent(
                 RefusalReason::Malformed,
                 "expected error, warn, info, debug or trace",
             )
@@ -314,7 +314,7 @@
     serde_path_to_error::deserialize(&mut deserializer).map_err(|error| {
         let refusal = Refusal {
             field: Some(error.path().to_string()),
-            ..Refusal::lasting(RefusalReason::Malformed, error.inner().to_string())
+            ..Refusal::permanent(RefusalReason::Malformed, error.inner().to_string())
         };
         Box::new(ErrorBody::refused(step, refusal))
     })
@@ -326,7 +326,7 @@
 }
 
 fn not_allowed(detail: &str) -> Box<ErrorBody> {
-    let refusal = Refusal::lasting(RefusalReason::NotAllowed, detail);
+    let refusal = Refusal::permanent(RefusalReason::NotAllowed, detail);
     Box::new(ErrorBody::refused("keys", refusal))
 }
 
@@ -335,7 +335,7 @@
         "expected a path of docs/API.md, found {} {}",
         request.method, request.path
     );
-    let refusal = Refusal::lasting(RefusalReason::Malformed, detail);
+    let refusal = Refusal::permanent(RefusalReason::Malformed, detail);
     Box::new(ErrorBody::refused("path", refusal))
 }
 
--- a/crates/bankvalve/src/api/error_body.rs
+++ b/crates/bankvalve/src/api/error_body.rs
@@ -36,7 +36,7 @@
 /// use bankvalve_cell::link::Refusal;
 /// use bankvalve_cell::refusal::RefusalReason;
 ///
-/// let refusal = Refusal::passing(RefusalReason::NoOwner, "changing hands", 2_000);
+/// let refusal = Refusal::temporary(RefusalReason::NoOwner, "changing hands", 2_000);
 /// let answer = ErrorBody::refused("submit", refusal).answer();
 /// assert_eq!((answer.status, answer.retry_after_ms), (503, Some(2_000)));
 /// ```
--- a/crates/bankvalve/src/serve/core_thread.rs
+++ b/crates/bankvalve/src/serve/core_thread.rs
@@ -117,7 +117,7 @@
                 self.shared.ring_full.fetch_add(1, Ordering::Relaxed);
                 let detail = "too many events wait for the core";
                 let reason = RefusalReason::QueueFull;
-                return CallerAnswer::NotRun(Refusal::passing(reason, detail, COME_BACK_MS));
+                return CallerAnswer::NotRun(Refusal::temporary(reason, detail, COME_BACK_MS));
             }
             Err(TrySendError::Disconnected(_)) => return stopping(),
         }
@@ -164,7 +164,7 @@
 fn stopping() -> CallerAnswer {
     let detail = "the instance is stopping";
     let reason = RefusalReason::Stopping;
-    CallerAnswer::NotRun(Refusal::passing(reason, detail, COME_BACK_MS))
+    CallerAnswer::NotRun(Refusal::temporary(reason, detail, COME_BACK_MS))
 }
 
 /// The core thread's own state.
@@ -279,8 +279,8 @@
     }
 
     fn publish(&mut self) {
-        let points = self.core.route_points();
-        let own = self.core.own_workers();
+        let points = self.core.service_routes();
+        let own = self.core.owned_workers();
         {
             let mut routes = match self.shared.routes.write() {
                 Ok(routes) => routes,
@@ -310,7 +310,7 @@
     fn view(&self) -> CoreView {
         let zero = (TaskSize::default(), TaskSize::default());
         let room = self.core.worker_partitions().fold(zero, |sum, owner| {
-            let (used, all) = owner.room_in_use();
+            let (used, all) = owner.capacity_in_use();
             (sum.0.plus(used), sum.1.plus(all))
         });
         let teams = || self.core.team_partitions().map(|(_, owner)| owner);
@@ -320,7 +320,7 @@
             waiting: teams().map(|owner| owner.waiting_tasks()).sum(),
             room,
             bundle: self.core.bundle_version(),
-            store_answers: self.core.store_answers(),
+            store_answers: self.core.store_available(),
             unarchived: teams().map(|owner| owner.unarchived()).sum(),
         }
     }
--- a/crates/bankvalve/src/serve/request_router.rs
+++ b/crates/bankvalve/src/serve/request_router.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use bankvalve_cell::instance::RoutePoint;
+use bankvalve_cell::instance::ServiceRoute;
 use bankvalve_cell::refusal::{RefusalReason, RetryReason};
 use bankvalve_link::{ClientFailure, HttpClient, PeerSigner};
 use bytes::Bytes;
@@ -201,8 +201,8 @@
     }
 
     /// Own workers first, then those of the same failure domain, else in random order.
-    fn order_points<'a>(&self, points: &'a [RoutePoint]) -> Vec<&'a RoutePoint> {
-        let mut ordered: Vec<&RoutePoint> = points.iter().collect();
+    fn order_points<'a>(&self, points: &'a [ServiceRoute]) -> Vec<&'a ServiceRoute> {
+        let mut ordered: Vec<&ServiceRoute> = points.iter().collect();
         ordered.shuffle(&mut rand::rng());
         ordered.sort_by_key(|point| {
             let own = point.owner == self.name;
@@ -215,7 +215,7 @@
     async fn try_point(
         &self,
         routes: &RouteTable,
-        point: &RoutePoint,
+        point: &ServiceRoute,
         request: &ServiceRequest,
     ) -> RequestOutcome {
         if point.owner == self.name {
@@ -258,7 +258,7 @@
         }
     }
 
-    async fn send_to_peer(&self, point: &RoutePoint, request: &ServiceRequest) -> RequestOutcome {
+    async fn send_to_peer(&self, point: &ServiceRoute, request: &ServiceRequest) -> RequestOutcome {
         let path = format!(
             "/peer/requests/{}/{}/{}",
             request.team, request.service, point.point.worker
--- a/crates/bankvalve/src/serve/route_table.rs
+++ b/crates/bankvalve/src/serve/route_table.rs
@@ -4,7 +4,7 @@
 use std::sync::atomic::{AtomicU32, Ordering};
 use std::sync::Arc;
 
-use bankvalve_cell::instance::{OwnWorker, RoutePoint};
+use bankvalve_cell::instance::{OwnedWorker, ServiceRoute};
 
 /// Slots and connections of one worker, counted by its only owner.
 ///
@@ -64,20 +64,20 @@
 /// A worker owned here, with its gate.
 #[derive(Clone, Debug)]
 pub(super) struct GatedWorker {
-    pub(super) worker: OwnWorker,
+    pub(super) worker: OwnedWorker,
     pub(super) gate: Arc<SlotGate>,
 }
 
 /// Where services run, and the workers owned here.
 #[derive(Clone, Debug, Default)]
 pub struct RouteTable {
-    points: BTreeMap<(String, String), Vec<RoutePoint>>,
+    points: BTreeMap<(String, String), Vec<ServiceRoute>>,
     own: BTreeMap<String, GatedWorker>,
 }
 
 impl RouteTable {
     /// Makes the next table, keeping the gates of workers that stay.
-    pub fn next(&self, points: Vec<RoutePoint>, own: Vec<OwnWorker>) -> Self {
+    pub fn next(&self, points: Vec<ServiceRoute>, own: Vec<OwnedWorker>) -> Self {
         let mut table = Self::default();
         for point in points {
             let name = (point.point.key.team.clone(), point.point.service.clone());
@@ -95,7 +95,7 @@
     }
 
     /// Running tasks of a team's service.
-    pub fn points_of(&self, team: &str, service: &str) -> &[RoutePoint] {
+    pub fn points_of(&self, team: &str, service: &str) -> &[ServiceRoute] {
         let name = (team.to_owned(), service.to_owned());
         self.points.get(&name).map_or(&[], Vec::as_slice)
     }
--- a/crates/bankvalve_cell/src/contract/worker_lease.rs
+++ b/crates/bankvalve_cell/src/contract/worker_lease.rs
@@ -39,9 +39,9 @@
     /// let lease = WorkerLease { reading: 500, received: Duration::from_secs(10) };
     /// let length = Duration::from_secs(15);
     /// assert_eq!(lease.granted_until(length), 15_500);
-    /// assert!(lease.surely_over_at(length) > Duration::from_secs(25));
+    /// assert!(lease.expires_by(length) > Duration::from_secs(25));
     /// ```
-    pub fn surely_over_at(&self, length: Duration) -> CellTime {
+    pub fn expires_by(&self, length: Duration) -> CellTime {
         self.received + length.mul_f64(1.0 + CLOCK_RATE_BOUND)
     }
 }
--- a/crates/bankvalve_cell/src/instance/bundle.rs
+++ b/crates/bankvalve_cell/src/instance/bundle.rs
@@ -1,6 +1,6 @@
 //! The bundle in force: read, spread, replaced by later versions only.
 
-use super::storing::StorePurpose;
+use super::store_requests::StorePurpose;
 use super::InstanceCore;
 use crate::contract::CellBundle;
 use crate::ids::{BundleVersion, CellTime, RowVersion, Ticket};
@@ -14,7 +14,7 @@
 /// Key of the row that holds the bundle in force.
 pub(super) const BUNDLE_KEY: &str = "bundle";
 /// Time after which a refused operator may come back, in milliseconds.
-const COME_BACK_MS: u64 = 1_000;
+const RETRY_AFTER_MS: u64 = 1_000;
 
 /// A bundle that an operator wants to put in force.
 #[derive(Clone, Debug)]
@@ -60,33 +60,33 @@
         self.bundle.polling = true;
         self.bundle.next_poll = self.now + self.settings.timings.bundle_poll;
         let key = BUNDLE_KEY.to_owned();
-        self.ask_store(StorePurpose::ReadBundle, StoreRequest::Read { key });
+        self.send_store_request(StorePurpose::ReadBundle, StoreRequest::Read { key });
     }
 
     /// Takes word of the version that a peer has in force.
-    pub(super) fn note_bundle_version(&mut self, version: BundleVersion) {
+    pub(super) fn poll_newer_bundle(&mut self, version: BundleVersion) {
         if version > self.bundle.bundle.version {
             self.bundle.next_poll = self.now;
         }
     }
 
-    pub(super) fn take_bundle_row(&mut self, outcome: StoreOutcome) {
+    pub(super) fn handle_bundle_row(&mut self, outcome: StoreOutcome) {
         self.bundle.polling = false;
         let StoreOutcome::Rows(rows) = outcome else {
             return;
         };
         self.bundle.confirmed = Some(self.now);
         if let Some(row) = rows.first() {
-            self.note_bundle_row(row);
+            self.record_bundle_row(row);
         }
     }
 
-    fn note_bundle_row(&mut self, row: &RowImage) {
+    fn record_bundle_row(&mut self, row: &RowImage) {
         let Ok(bundle) = rmp_serde::from_slice::<CellBundle>(&row.value) else {
             return;
         };
         let rises = bundle.version > self.bundle.bundle.version;
-        if rises || !self.settings.guards.has(GuardName::BundleRises) {
+        if rises || !self.settings.guards.enforces(GuardName::BundleRises) {
             self.put_in_force(bundle, row.version);
         }
     }
@@ -99,7 +99,7 @@
         });
         self.bundle.bundle = bundle;
         self.bundle.row_version = row_version;
-        self.tell_all_peers(&PeerMessage::Heartbeat);
+        self.send_to_all_peers(&PeerMessage::Heartbeat);
     }
 
     pub(super) fn bundle_answer(&self) -> CallerAnswer {
@@ -118,7 +118,7 @@
         }
         if self.bundle.accepting.is_some() {
             let detail = "another bundle is being accepted through this instance";
-            let refusal = Refusal::passing(RefusalReason::QueueFull, detail, COME_BACK_MS);
+            let refusal = Refusal::temporary(RefusalReason::QueueFull, detail, RETRY_AFTER_MS);
             self.answer_bundle(ticket, CallerAnswer::NotRun(refusal));
             return;
         }
@@ -137,7 +137,7 @@
             txn: txn.clone(),
             doubtful: false,
         });
-        self.ask_store(StorePurpose::AcceptBundle, StoreRequest::Apply(txn));
+        self.send_store_request(StorePurpose::AcceptBundle, StoreRequest::Apply(txn));
     }
 
     fn version_conflict(&self) -> CallerAnswer {
@@ -148,10 +148,10 @@
             known.version,
             known.author
         );
-        CallerAnswer::NotRun(Refusal::lasting(RefusalReason::VersionConflict, detail))
+        CallerAnswer::NotRun(Refusal::permanent(RefusalReason::VersionConflict, detail))
     }
 
-    pub(super) fn take_bundle_accepted(&mut self, outcome: &StoreOutcome) {
+    pub(super) fn handle_bundle_accepted(&mut self, outcome: &StoreOutcome) {
         let Some(open) = &mut self.bundle.accepting else {
             return;
         };
@@ -160,20 +160,20 @@
                 let bundle = open.bundle.clone();
                 self.end_accept(bundle, *version);
             }
-            StoreOutcome::Lost if self.settings.guards.has(GuardName::ReadBack) => {
+            StoreOutcome::Lost if self.settings.guards.enforces(GuardName::ReadBack) => {
                 open.doubtful = true;
                 let request = StoreRequest::Apply(open.txn.clone());
-                self.ask_store(StorePurpose::AcceptBundle, request);
+                self.send_store_request(StorePurpose::AcceptBundle, request);
             }
             StoreOutcome::Conflict { .. } | StoreOutcome::Lost | StoreOutcome::Rows(_) => {
                 let key = BUNDLE_KEY.to_owned();
-                self.ask_store(StorePurpose::ReadAccepted, StoreRequest::Read { key });
+                self.send_store_request(StorePurpose::ReadAccepted, StoreRequest::Read { key });
             }
             StoreOutcome::Busy => {
                 let open = self.bundle.accepting.take().expect("checked");
                 let reason = RefusalReason::StoreUnavailable;
                 let detail = "the table service is busy; nothing was written";
-                let refusal = Refusal::passing(reason, detail, COME_BACK_MS);
+                let refusal = Refusal::temporary(reason, detail, RETRY_AFTER_MS);
                 let answer = if open.doubtful {
                     CallerAnswer::Unknown {
                         detail: detail.into(),
@@ -187,10 +187,10 @@
     }
 
     /// Takes the row that tells who won when a bundle conflicted.
-    pub(super) fn take_accepted_row(&mut self, outcome: StoreOutcome) {
+    pub(super) fn handle_accepted_row(&mut self, outcome: StoreOutcome) {
         let StoreOutcome::Rows(rows) = outcome else {
             let key = BUNDLE_KEY.to_owned();
-            self.ask_store(StorePurpose::ReadAccepted, StoreRequest::Read { key });
+            self.send_store_request(StorePurpose::ReadAccepted, StoreRequest::Read { key });
             return;
         };
         let Some(row) = rows.first() else {
@@ -207,7 +207,7 @@
             self.end_accept(bundle, row.version);
             return;
         }
-        self.note_bundle_row(row);
+        self.record_bundle_row(row);
         if let Some(open) = self.bundle.accepting.take() {
             let answer = self.version_conflict();
             self.answer_bundle(open.ticket, answer);
--- a/crates/bankvalve_cell/src/instance/commands.rs
+++ b/crates/bankvalve_cell/src/instance/commands.rs
@@ -13,7 +13,7 @@
 use crate::refusal::RefusalReason;
 
 /// Time after which a refused caller may come back, in milliseconds.
-const COME_BACK_MS: u64 = 2_000;
+const RETRY_AFTER_MS: u64 = 2_000;
 
 /// A command that waits for its answer.
 #[derive(Clone, Debug)]
@@ -33,7 +33,7 @@
 
 impl InstanceCore {
     /// Takes a command that came to this instance.
-    pub(super) fn take_command(&mut self, ticket: Ticket, command: CallerCommand) {
+    pub(super) fn handle_command(&mut self, ticket: Ticket, command: CallerCommand) {
         let changes = matches!(
             command,
             CallerCommand::Submit { .. }
@@ -104,14 +104,14 @@
                     .is_some_and(|state| matches!(state, MemberState::Live | MemberState::Stopping))
         };
         match to {
-            Some(to) if to == here => self.take_forwarded(&here, ticket, command),
+            Some(to) if to == here => self.handle_forwarded(&here, ticket, command),
             Some(to) if reachable(&to) => {
                 let message = PeerMessage::Forward {
                     origin: here,
                     ticket,
                     command: Box::new(command),
                 };
-                self.tell_peer(&to, message);
+                self.send_to_peer(&to, message);
             }
             _ => {
                 let detail = "nobody owns the partition just now";
@@ -121,7 +121,7 @@
     }
 
     /// Takes a command that another instance, or this one, had for an owner.
-    pub(super) fn take_forwarded(
+    pub(super) fn handle_forwarded(
         &mut self,
         origin: &InstanceName,
         ticket: Ticket,
@@ -129,7 +129,7 @@
     ) {
         match command {
             CallerCommand::Workers => {
-                let answer = CallerAnswer::Workers(self.own_worker_views());
+                let answer = CallerAnswer::Workers(self.owned_worker_views());
                 self.answer(origin, ticket, answer);
             }
             CallerCommand::DrainInstance { .. } => {
@@ -156,7 +156,7 @@
             self.refuse(origin, ticket, RefusalReason::NoOwner, detail);
             return;
         }
-        let sure = self.is_fresh();
+        let sure = self.has_valid_lease();
         let known = match &command {
             CallerCommand::Status { team, job } | CallerCommand::Cancel { team, job } => {
                 let owner = &self.teams[&index];
@@ -199,7 +199,7 @@
     fn gather_workers(&mut self, ticket: Ticket) {
         let here = self.settings.detail.name.clone();
         let others = self.peer_names();
-        let views = self.own_worker_views();
+        let views = self.owned_worker_views();
         let Some(open) = self.open_commands.get_mut(&ticket) else {
             return;
         };
@@ -213,13 +213,13 @@
                 ticket,
                 command: Box::new(CallerCommand::Workers),
             };
-            self.tell_peer(&to, message);
+            self.send_to_peer(&to, message);
         }
         self.end_gather_if_whole(ticket);
     }
 
     /// Takes a peer's answer to a forwarded command.
-    pub(super) fn take_answer(
+    pub(super) fn handle_answer(
         &mut self,
         from: &InstanceName,
         ticket: Ticket,
@@ -259,7 +259,7 @@
         self.answer(&here, ticket, CallerAnswer::Workers(views));
     }
 
-    fn own_worker_views(&self) -> Vec<WorkerView> {
+    fn owned_worker_views(&self) -> Vec<WorkerView> {
         let here = &self.settings.detail.name;
         let partitions = self.workers.values();
         partitions
@@ -307,7 +307,7 @@
             return;
         }
         let answer = Box::new(answer);
-        self.tell_peer(origin, PeerMessage::Answer { ticket, answer });
+        self.send_to_peer(origin, PeerMessage::Answer { ticket, answer });
     }
 
     fn refuse(
@@ -318,7 +318,7 @@
         detail: &str,
     ) {
         self.tally.refuse(reason);
-        let refusal = Refusal::passing(reason, detail, COME_BACK_MS);
+        let refusal = Refusal::temporary(reason, detail, RETRY_AFTER_MS);
         self.answer(origin, ticket, CallerAnswer::NotRun(refusal));
     }
 
--- a/crates/bankvalve_cell/src/instance/committing.rs
+++ b/crates/bankvalve_cell/src/instance/group_commit.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use super::storing::StorePurpose;
+use super::store_requests::StorePurpose;
 use super::InstanceCore;
 use crate::ids::{CellTime, PartitionIndex};
 use crate::link::{StoreOutcome, StoreRequest, TableTransaction};
@@ -66,7 +66,7 @@
             again_at: None,
             doubtful: false,
         });
-        self.ask_store(StorePurpose::Commit, request);
+        self.send_store_request(StorePurpose::Commit, request);
     }
 
     fn send_commit_again(&mut self) {
@@ -76,7 +76,7 @@
         open.again_at = None;
         if open.conflicts.is_empty() {
             let request = StoreRequest::Apply(open.txn.clone());
-            self.ask_store(StorePurpose::Commit, request);
+            self.send_store_request(StorePurpose::Commit, request);
         } else {
             self.read_head();
         }
@@ -87,7 +87,7 @@
     /// A lost answer is resolved by sending the same transaction again: its
     /// conditions let it take effect once at most. If it then conflicts, the
     /// head row tells whether the first one took effect.
-    pub(super) fn take_commit(&mut self, outcome: StoreOutcome) {
+    pub(super) fn handle_commit(&mut self, outcome: StoreOutcome) {
         let again_at = Some(self.now + TRY_AGAIN);
         let Some(open) = &mut self.commits.open else {
             return;
@@ -101,7 +101,7 @@
                 self.read_head();
             }
             StoreOutcome::Conflict { keys } => self.end_commit(&FlushOutcome::Conflict(keys)),
-            StoreOutcome::Lost if !self.settings.guards.has(GuardName::ReadBack) => {
+            StoreOutcome::Lost if !self.settings.guards.enforces(GuardName::ReadBack) => {
                 // Only a check that takes the guard away believes this.
                 self.end_commit(&FlushOutcome::Committed(0));
             }
@@ -126,11 +126,11 @@
             return;
         };
         let key = owner.head_key();
-        self.ask_store(StorePurpose::ReadHead, StoreRequest::Read { key });
+        self.send_store_request(StorePurpose::ReadHead, StoreRequest::Read { key });
     }
 
     /// Takes the head row that tells whether a doubtful commit took effect.
-    pub(super) fn take_head(&mut self, outcome: StoreOutcome) {
+    pub(super) fn handle_head(&mut self, outcome: StoreOutcome) {
         let again_at = Some(self.now + TRY_AGAIN);
         let Some(open) = &mut self.commits.open else {
             return;
@@ -144,7 +144,7 @@
         let committed = rows.iter().find_map(|row| {
             let own = parts.iter().any(|(index, _)| {
                 self.teams.get(index).is_some_and(|owner| {
-                    owner.head_key() == row.key && owner.is_own_head(&row.value)
+                    owner.head_key() == row.key && owner.is_head_in_flight(&row.value)
                 })
             });
             own.then_some(row.version)
--- a/crates/bankvalve_cell/src/instance/handover.rs
+++ b/crates/bankvalve_cell/src/instance/handover.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use super::storing::StorePurpose;
+use super::store_requests::StorePurpose;
 use super::{CoreAction, InstanceCore};
 use crate::link::{PeerMessage, StoreOutcome, StoreRequest, TableTransaction};
 use crate::membership::{instance_key, PartitionKey, PartitionRow};
@@ -28,7 +28,7 @@
             .collect();
         for key in due {
             self.loads.remove(&key);
-            let epoch = self.epoch_held(key);
+            let epoch = self.owned_epoch(key);
             if !self.owns(key) {
                 continue;
             }
@@ -52,27 +52,27 @@
             self.release(key);
         }
         if self.stopping && self.workers.is_empty() && self.teams.is_empty() {
-            self.leave();
+            self.deregister();
         }
     }
 
     /// Takes the instance's own row away, so that peers need not wait for it to be silent.
-    pub(super) fn leave(&mut self) {
-        if self.lease.asking || self.stopped {
+    pub(super) fn deregister(&mut self) {
+        if self.lease.request_pending || self.stopped {
             return;
         }
-        self.lease.asking = true;
+        self.lease.request_pending = true;
         let key = instance_key(&self.settings.detail.name);
         let mut txn = TableTransaction::default();
         txn.require(key.clone(), self.lease.version);
         txn.delete(key);
-        self.ask_store(StorePurpose::Leave, StoreRequest::Apply(txn));
+        self.send_store_request(StorePurpose::Deregister, StoreRequest::Apply(txn));
     }
 
     /// Ends a planned stop, whether or not the row could be taken away.
-    pub(super) fn take_left(&mut self) {
+    pub(super) fn handle_deregistered(&mut self) {
         self.stopped = true;
-        self.tell_all_peers(&PeerMessage::OwnerChanged);
+        self.send_to_all_peers(&PeerMessage::OwnerChanged);
         self.actions.push(CoreAction::Stopped);
     }
 
@@ -84,7 +84,7 @@
             || self
                 .teams
                 .get(&key.index)
-                .is_some_and(TeamPartition::is_settled);
+                .is_some_and(TeamPartition::is_flushed);
         !asked && settled && self.owns(key)
     }
 
@@ -100,21 +100,21 @@
         let mut txn = TableTransaction::default();
         txn.require(key.row_key(), *version);
         txn.put(key.row_key(), row.encode());
-        self.ask_store(StorePurpose::Release { key }, StoreRequest::Apply(txn));
+        self.send_store_request(StorePurpose::Release { key }, StoreRequest::Apply(txn));
     }
 
-    pub(super) fn take_released(&mut self, key: PartitionKey, outcome: &StoreOutcome) {
+    pub(super) fn handle_released(&mut self, key: PartitionKey, outcome: &StoreOutcome) {
         match outcome {
             StoreOutcome::Applied { version } => {
-                let epoch = self.epoch_held(key);
+                let epoch = self.owned_epoch(key);
                 let row = PartitionRow {
                     owner: String::new(),
                     incarnation: 0,
                     epoch,
                 };
-                self.note_partition(key, row, *version);
+                self.record_partition(key, row, *version);
                 self.drop_partition(key);
-                self.tell_all_peers(&PeerMessage::OwnerChanged);
+                self.send_to_all_peers(&PeerMessage::OwnerChanged);
             }
             StoreOutcome::Busy => {}
             _ => self.lease.scan_soon(),
--- a/crates/bankvalve_cell/src/instance/instance_core.rs
+++ b/crates/bankvalve_cell/src/instance/instance_core.rs
@@ -5,17 +5,17 @@
 
 use super::bundle::BundleState;
 use super::commands::OpenCommand;
-use super::committing::CommitState;
+use super::group_commit::CommitState;
 use super::lease::LeaseState;
 use super::peers::PeerState;
-use super::storing::{ObjectPurpose, StorePurpose};
+use super::store_requests::{ObjectPurpose, StorePurpose};
 use super::{CoreAction, CoreEvent, CoreSettings};
 use crate::ids::{CellTime, Epoch, Incarnation, PartitionIndex, RowVersion, Ticket, UnixMillis};
-use crate::link::{ObjectRequest, PartitionPoints, PeerMessage, StoreRequest, TaskId};
+use crate::link::{ObjectRequest, PartitionEndpoints, PeerMessage, StoreRequest, TaskId};
 use crate::machine::{worker_partition_of, ListedWorker};
 use crate::membership::{MemberRoster, PartitionKey, PartitionRow};
 use crate::owner::{OwnerAction, OwnerContext, TeamPartition, TeamView, WorkerPartition};
-use crate::placement::RoomBoard;
+use crate::placement::DigestCache;
 use crate::refusal::RefusalReason;
 use crate::tally::CellTally;
 
@@ -39,9 +39,9 @@
     pub(super) releasing: BTreeSet<PartitionKey>,
     /// Partitions whose rows are to be read, and when.
     pub(super) loads: BTreeMap<PartitionKey, CellTime>,
-    pub(super) board: RoomBoard,
+    pub(super) digest_cache: DigestCache,
     /// Running tasks of services by worker partition, as last heard.
-    pub(super) points: BTreeMap<PartitionIndex, PartitionPoints>,
+    pub(super) points: BTreeMap<PartitionIndex, PartitionEndpoints>,
     pub(super) listed: Vec<ListedWorker>,
     pub(super) bundle: BundleState,
     pub(super) commits: CommitState,
@@ -74,7 +74,7 @@
             teams: BTreeMap::new(),
             releasing: BTreeSet::new(),
             loads: BTreeMap::new(),
-            board: RoomBoard::default(),
+            digest_cache: DigestCache::default(),
             points: BTreeMap::new(),
             listed: Vec::new(),
             bundle: BundleState::default(),
@@ -100,23 +100,23 @@
     pub fn step(&mut self, now: CellTime, wall: UnixMillis, event: CoreEvent) -> Vec<CoreAction> {
         self.now = self.now.max(now);
         self.wall = wall;
-        self.drop_unattended();
+        self.drop_workers_without_store();
         match event {
             CoreEvent::Tick => self.tick(),
-            CoreEvent::Peer(batch) => self.take_batch(batch),
-            CoreEvent::Store { ticket, outcome } => self.take_store(ticket, outcome),
-            CoreEvent::Object { ticket, outcome } => self.take_object(ticket, &outcome),
+            CoreEvent::Peer(batch) => self.handle_batch(batch),
+            CoreEvent::Store { ticket, outcome } => self.handle_store_outcome(ticket, outcome),
+            CoreEvent::Object { ticket, outcome } => self.handle_object_outcome(ticket, &outcome),
             CoreEvent::Worker {
                 partition,
                 worker,
                 token,
                 answer,
             } => self.with_worker_partition(partition, |owner, ctx| {
-                owner.take_answer(&worker, token, answer, ctx);
+                owner.handle_answer(&worker, token, answer, ctx);
                 owner.run_due(ctx);
             }),
-            CoreEvent::List(listed) => self.take_list(listed),
-            CoreEvent::Command { ticket, command } => self.take_command(ticket, command),
+            CoreEvent::List(listed) => self.handle_list(listed),
+            CoreEvent::Command { ticket, command } => self.handle_command(ticket, command),
             CoreEvent::Stop => self.begin_stop(),
         }
         self.run_owner_actions();
@@ -174,7 +174,7 @@
     }
 
     /// Tells whether the store has answered lately.
-    pub fn store_answers(&self) -> bool {
+    pub fn store_available(&self) -> bool {
         let silence = self.settings.timings.store_silence;
         self.store_answered_at
             .is_some_and(|at| self.now.saturating_sub(at) < silence)
@@ -209,7 +209,7 @@
         let mut news = Vec::new();
         self.with_worker_partition(index, |owner, ctx| {
             owner.tick(ctx);
-            news = owner.due_news(ctx);
+            news = owner.due_updates(ctx);
         });
         if self
             .workers
@@ -222,8 +222,8 @@
         }
         let here = self.settings.detail.name.clone();
         for message in news {
-            self.tell_all_peers(&message);
-            self.take_message(&here, message);
+            self.send_to_all_peers(&message);
+            self.handle_message(&here, message);
         }
     }
 
@@ -237,20 +237,20 @@
             archive = owner.begin_archive(ctx);
         });
         if let Some(request) = archive {
-            self.ask_objects(ObjectPurpose::Archive(index), request);
+            self.send_object_request(ObjectPurpose::Archive(index), request);
         }
     }
 
-    fn take_list(&mut self, listed: Vec<ListedWorker>) {
+    fn handle_list(&mut self, listed: Vec<ListedWorker>) {
         self.listed = listed;
         let indexes: Vec<PartitionIndex> = self.workers.keys().copied().collect();
         for index in indexes {
-            self.give_list(index);
+            self.update_listed_workers(index);
         }
     }
 
     /// Gives a worker partition its part of the instance list.
-    pub(super) fn give_list(&mut self, index: PartitionIndex) {
+    pub(super) fn update_listed_workers(&mut self, index: PartitionIndex) {
         let plan = &self.settings.plan;
         let part: Vec<ListedWorker> = self
             .listed
@@ -259,7 +259,7 @@
             .cloned()
             .collect();
         if let Some(owner) = self.workers.get_mut(&index) {
-            owner.take_list(&part, self.now);
+            owner.handle_list(&part, self.now);
         }
     }
 
@@ -290,7 +290,7 @@
         index: PartitionIndex,
         step: impl FnOnce(&mut TeamPartition, &mut TeamView<'_>, &mut OwnerContext<'_>),
     ) {
-        let store_answers = self.store_answers();
+        let store_available = self.store_available();
         let Some(owner) = self.teams.get_mut(&index) else {
             return;
         };
@@ -304,10 +304,10 @@
             actions: &mut self.owner_actions,
         };
         let mut view = TeamView {
-            board: &mut self.board,
+            digest_cache: &mut self.digest_cache,
             worker_rows: &self.worker_rows,
             listed: &self.listed,
-            store_answers,
+            store_available,
         };
         step(owner, &mut view, &mut ctx);
     }
@@ -325,10 +325,10 @@
     fn run_owner_action(&mut self, action: OwnerAction) {
         match action {
             OwnerAction::ToWorkerPartition { partition, message } => {
-                self.tell_owner(PartitionKey::worker(partition), message);
+                self.send_to_owner(PartitionKey::worker(partition), message);
             }
             OwnerAction::ToTeamPartition { partition, message } => {
-                self.tell_owner(PartitionKey::team(partition), message);
+                self.send_to_owner(PartitionKey::team(partition), message);
             }
             OwnerAction::Exchange {
                 partition,
@@ -353,37 +353,41 @@
     }
 
     /// Says something to the owner of a partition, which may be this instance.
-    fn tell_owner(&mut self, key: PartitionKey, message: PeerMessage) {
+    fn send_to_owner(&mut self, key: PartitionKey, message: PeerMessage) {
         let owner = self.partition_rows.get(&key).map(|(row, _)| &row.owner);
         match owner {
             Some(owner) if *owner == self.settings.detail.name => {
                 let from = owner.clone();
-                self.take_message(&from, message);
+                self.handle_message(&from, message);
             }
             Some(owner) if !owner.is_empty() => {
                 let owner = owner.clone();
-                self.tell_peer(&owner, message);
+                self.send_to_peer(&owner, message);
             }
             _ => self.tally.refuse(RefusalReason::NoOwner),
         }
     }
 
     /// Asks the table service.
-    pub(super) fn ask_store(&mut self, purpose: StorePurpose, request: StoreRequest) -> Ticket {
-        let ticket = self.take_ticket();
+    pub(super) fn send_store_request(
+        &mut self,
+        purpose: StorePurpose,
+        request: StoreRequest,
+    ) -> Ticket {
+        let ticket = self.allocate_ticket();
         self.store_tickets.insert(ticket, (purpose, self.now));
         self.actions.push(CoreAction::Store { ticket, request });
         ticket
     }
 
     /// Asks the object store.
-    pub(super) fn ask_objects(&mut self, purpose: ObjectPurpose, request: ObjectRequest) {
-        let ticket = self.take_ticket();
+    pub(super) fn send_object_request(&mut self, purpose: ObjectPurpose, request: ObjectRequest) {
+        let ticket = self.allocate_ticket();
         self.object_tickets.insert(ticket, purpose);
         self.actions.push(CoreAction::Object { ticket, request });
     }
 
-    pub(super) fn take_ticket(&mut self) -> Ticket {
+    pub(super) fn allocate_ticket(&mut self) -> Ticket {
         let ticket = self.next_ticket;
         self.next_ticket += 1;
         ticket
--- a/crates/bankvalve_cell/src/instance/lease.rs
+++ b/crates/bankvalve_cell/src/instance/lease.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use super::storing::StorePurpose;
+use super::store_requests::StorePurpose;
 use super::InstanceCore;
 use crate::ids::{CellTime, Incarnation, RowVersion};
 use crate::link::{StoreOutcome, StoreRequest, TableTransaction};
@@ -20,14 +20,14 @@
     pub(super) version: RowVersion,
     pub(super) beat: u64,
     pub(super) registered: bool,
-    pub(super) asking: bool,
+    pub(super) request_pending: bool,
     pub(super) next: CellTime,
     /// Time from which the lease counts: when its last renewal was sent.
     pub(super) confirmed: Option<CellTime>,
     pub(super) scanning: bool,
     pub(super) next_scan: CellTime,
     /// When the last scan that was answered had been sent.
-    pub(super) attended: CellTime,
+    pub(super) last_answered_scan: CellTime,
     pub(super) last_scan: CellTime,
 }
 
@@ -44,7 +44,7 @@
 
 impl InstanceCore {
     /// Tells whether the instance's own lease holds by its own clock.
-    pub(super) fn is_fresh(&self) -> bool {
+    pub(super) fn has_valid_lease(&self) -> bool {
         let length = self.settings.timings.instance_lease;
         self.lease
             .confirmed
@@ -53,14 +53,14 @@
 
     /// Registers the instance, then renews its lease.
     pub(super) fn run_lease(&mut self) {
-        if self.lease.asking || self.now < self.lease.next || self.stopped {
+        if self.lease.request_pending || self.now < self.lease.next || self.stopped {
             return;
         }
-        self.lease.asking = true;
+        self.lease.request_pending = true;
         self.lease.next = self.now + self.settings.timings.instance_renewal;
         if !self.lease.registered {
             let key = instance_key(&self.settings.detail.name);
-            self.ask_store(StorePurpose::ReadOwnRow, StoreRequest::Read { key });
+            self.send_store_request(StorePurpose::ReadOwnRow, StoreRequest::Read { key });
             return;
         }
         let sent = self.now;
@@ -83,12 +83,12 @@
         let mut txn = TableTransaction::default();
         txn.require(key.clone(), self.lease.version);
         txn.put(key, row.encode());
-        self.ask_store(purpose, StoreRequest::Apply(txn));
+        self.send_store_request(purpose, StoreRequest::Apply(txn));
     }
 
     /// Takes in the instance's own row: a new life begins, or the lease goes on.
-    pub(super) fn take_own_row(&mut self, outcome: StoreOutcome) {
-        self.lease.asking = false;
+    pub(super) fn handle_own_row(&mut self, outcome: StoreOutcome) {
+        self.lease.request_pending = false;
         let StoreOutcome::Rows(rows) = outcome else {
             return;
         };
@@ -107,11 +107,11 @@
         }
         let last = row.map_or(0, |row| row.incarnation);
         let incarnation = self.incarnation.max(last + 1);
-        self.begin_life(incarnation);
+        self.begin_incarnation(incarnation);
     }
 
     /// Begins a life: nothing that an earlier one owned is owned any more.
-    pub(super) fn begin_life(&mut self, incarnation: Incarnation) {
+    pub(super) fn begin_incarnation(&mut self, incarnation: Incarnation) {
         self.incarnation = incarnation;
         self.workers.clear();
         let teams: Vec<u32> = self.teams.keys().copied().collect();
@@ -119,15 +119,15 @@
             self.drop_team(index);
         }
         self.releasing.clear();
-        self.peers.begin_life();
-        self.lease.asking = true;
+        self.peers.begin_incarnation();
+        self.lease.request_pending = true;
         self.lease.beat = 1;
         let row = self.own_row(1);
         self.write_own_row(&row, StorePurpose::Register { incarnation });
     }
 
-    pub(super) fn take_registered(&mut self, incarnation: Incarnation, outcome: &StoreOutcome) {
-        self.lease.asking = false;
+    pub(super) fn handle_registered(&mut self, incarnation: Incarnation, outcome: &StoreOutcome) {
+        self.lease.request_pending = false;
         if incarnation != self.incarnation {
             return;
         }
@@ -141,8 +141,8 @@
         }
     }
 
-    pub(super) fn take_renewed(&mut self, sent: CellTime, outcome: &StoreOutcome) {
-        self.lease.asking = false;
+    pub(super) fn handle_renewed(&mut self, sent: CellTime, outcome: &StoreOutcome) {
+        self.lease.request_pending = false;
         match outcome {
             StoreOutcome::Applied { version } => {
                 self.lease.version = *version;
--- a/crates/bankvalve_cell/src/instance/ownership.rs
+++ b/crates/bankvalve_cell/src/instance/ownership.rs
@@ -1,6 +1,6 @@
 //! Scans of the rows that say who lives and owns what, and the claims that follow.
 
-use super::storing::StorePurpose;
+use super::store_requests::StorePurpose;
 use super::InstanceCore;
 use crate::ids::RowVersion;
 use crate::ledger::BatchWriter;
@@ -27,10 +27,10 @@
         self.lease.last_scan = self.now;
         self.lease.next_scan = self.now + self.settings.timings.scan;
         let prefix = PARTITION_PREFIX.to_owned();
-        self.ask_store(StorePurpose::ScanPartitions, StoreRequest::Scan { prefix });
+        self.send_store_request(StorePurpose::ScanPartitions, StoreRequest::Scan { prefix });
     }
 
-    pub(super) fn take_partition_scan(&mut self, outcome: StoreOutcome) {
+    pub(super) fn handle_partition_scan(&mut self, outcome: StoreOutcome) {
         let StoreOutcome::Rows(rows) = outcome else {
             self.lease.scanning = false;
             return;
@@ -39,15 +39,15 @@
             let key = PartitionKey::from_row_key(&image.key);
             let row = PartitionRow::decode(&image.value);
             if let Some((key, row)) = key.zip(row) {
-                self.note_partition(key, row, image.version);
+                self.record_partition(key, row, image.version);
             }
         }
-        self.lease.attended = self.lease.last_scan;
+        self.lease.last_answered_scan = self.lease.last_scan;
         let prefix = INSTANCE_PREFIX.to_owned();
-        self.ask_store(StorePurpose::ScanInstances, StoreRequest::Scan { prefix });
+        self.send_store_request(StorePurpose::ScanInstances, StoreRequest::Scan { prefix });
     }
 
-    pub(super) fn take_instance_scan(&mut self, outcome: StoreOutcome) {
+    pub(super) fn handle_instance_scan(&mut self, outcome: StoreOutcome) {
         self.lease.scanning = false;
         let StoreOutcome::Rows(rows) = outcome else {
             return;
@@ -57,17 +57,17 @@
             .filter_map(|image| Some((image.version, InstanceRow::decode(&image.value)?)))
             .collect();
         let gap = self.settings.timings.scan * 2;
-        self.roster.take_scan(self.now, rows, gap);
-        self.settle_ownership();
+        self.roster.handle_scan(self.now, rows, gap);
+        self.reconcile_ownership();
     }
 
     /// Drops the worker partitions when the table service has not confirmed them for too long.
     ///
     /// A successor counts on this: after that time, and a worker's lease,
     /// nothing that this instance granted can still be running.
-    pub(super) fn drop_unattended(&mut self) {
+    pub(super) fn drop_workers_without_store(&mut self) {
         let limit = self.settings.timings.unattended;
-        if self.workers.is_empty() || self.now <= self.lease.attended + limit {
+        if self.workers.is_empty() || self.now <= self.lease.last_answered_scan + limit {
             return;
         }
         self.tally
@@ -75,7 +75,7 @@
         self.workers.clear();
     }
 
-    pub(super) fn note_partition(
+    pub(super) fn record_partition(
         &mut self,
         key: PartitionKey,
         row: PartitionRow,
@@ -92,13 +92,13 @@
     }
 
     /// Claims what should be owned here, and releases what should be owned elsewhere.
-    pub(super) fn settle_ownership(&mut self) {
+    pub(super) fn reconcile_ownership(&mut self) {
         if !self.lease.registered {
             return;
         }
         self.drop_lost_partitions();
         self.adopt_claimed_partitions();
-        self.revoke_silent_members();
+        self.revoke_unresponsive_members();
         if self.stopping {
             return;
         }
@@ -146,7 +146,7 @@
             .partition_rows
             .iter()
             .filter(|(key, (row, _))| {
-                self.owns(**key) && !(self.is_own_row(row) && self.epoch_held(**key) == row.epoch)
+                self.owns(**key) && !(self.is_own_row(row) && self.owned_epoch(**key) == row.epoch)
             })
             .map(|(key, _)| *key)
             .collect();
@@ -155,7 +155,7 @@
         }
     }
 
-    pub(super) fn epoch_held(&self, key: PartitionKey) -> u64 {
+    pub(super) fn owned_epoch(&self, key: PartitionKey) -> u64 {
         if key.is_team() {
             self.teams.get(&key.index).map_or(0, TeamPartition::epoch)
         } else {
@@ -192,9 +192,9 @@
         }
     }
 
-    pub(super) fn revoke_silent_members(&mut self) {
+    pub(super) fn revoke_unresponsive_members(&mut self) {
         let lease = self.settings.timings.instance_lease;
-        for (mut row, version) in self.roster.silent(lease) {
+        for (mut row, version) in self.roster.unresponsive(lease) {
             if row.detail.name == self.settings.detail.name {
                 continue;
             }
@@ -203,7 +203,7 @@
             let mut txn = TableTransaction::default();
             txn.require(key.clone(), version);
             txn.put(key, row.encode());
-            self.ask_store(StorePurpose::Revoke, StoreRequest::Apply(txn));
+            self.send_store_request(StorePurpose::Revoke, StoreRequest::Apply(txn));
         }
     }
 
@@ -212,7 +212,8 @@
         let (version, epoch, vacant) = match known {
             None => (0, 0, true),
             Some((row, version)) => {
-                let over = row.owner.is_empty() || self.roster.is_over(&row.owner, row.incarnation);
+                let over =
+                    row.owner.is_empty() || self.roster.has_ended(&row.owner, row.incarnation);
                 (*version, row.epoch, over)
             }
         };
@@ -231,10 +232,10 @@
         txn.require(key.row_key(), version);
         txn.put(key.row_key(), row.encode());
         let purpose = StorePurpose::Claim { key, row };
-        self.ask_store(purpose, StoreRequest::Apply(txn));
+        self.send_store_request(purpose, StoreRequest::Apply(txn));
     }
 
-    pub(super) fn take_claimed(
+    pub(super) fn handle_claimed(
         &mut self,
         key: PartitionKey,
         row: &PartitionRow,
@@ -245,9 +246,9 @@
         }
         match outcome {
             StoreOutcome::Applied { version } => {
-                self.note_partition(key, row.clone(), *version);
+                self.record_partition(key, row.clone(), *version);
                 self.take_over(key, row, *version);
-                self.tell_all_peers(&PeerMessage::OwnerChanged);
+                self.send_to_all_peers(&PeerMessage::OwnerChanged);
             }
             _ => self.lease.scan_soon(),
         }
--- a/crates/bankvalve_cell/src/instance/peers.rs
+++ b/crates/bankvalve_cell/src/instance/peers.rs
@@ -31,14 +31,14 @@
 
 impl PeerState {
     /// Begins a new life: messages of the last one are not sent any more.
-    pub(super) fn begin_life(&mut self) {
+    pub(super) fn begin_incarnation(&mut self) {
         self.outboxes.clear();
     }
 }
 
 impl InstanceCore {
     /// Puts a message in line for a peer.
-    pub(super) fn tell_peer(&mut self, to: &InstanceName, message: PeerMessage) {
+    pub(super) fn send_to_peer(&mut self, to: &InstanceName, message: PeerMessage) {
         let outbox = self.peers.outboxes.entry(to.clone()).or_default();
         if outbox.messages.len() >= OUTBOX_LIMIT {
             self.tally.refuse(RefusalReason::QueueFull);
@@ -48,9 +48,9 @@
     }
 
     /// Puts a message in line for all peers.
-    pub(super) fn tell_all_peers(&mut self, message: &PeerMessage) {
+    pub(super) fn send_to_all_peers(&mut self, message: &PeerMessage) {
         for to in self.peer_names() {
-            self.tell_peer(&to, message.clone());
+            self.send_to_peer(&to, message.clone());
         }
     }
 
@@ -107,33 +107,33 @@
         for to in self.peer_names() {
             let last = self.peers.outboxes.get(&to).map(|outbox| outbox.last);
             if last.is_none_or(|last| self.now >= last + interval) {
-                self.tell_peer(&to, PeerMessage::Heartbeat);
+                self.send_to_peer(&to, PeerMessage::Heartbeat);
             }
         }
     }
 
     /// Takes a peer's batch, unless it is late or repeated.
-    pub(super) fn take_batch(&mut self, batch: PeerBatch) {
+    pub(super) fn handle_batch(&mut self, batch: PeerBatch) {
         let place = (batch.incarnation, batch.sequence);
         let taken = self.peers.taken.entry(batch.from.clone()).or_default();
-        if place <= *taken && self.settings.guards.has(GuardName::PeerOrder) {
+        if place <= *taken && self.settings.guards.enforces(GuardName::PeerOrder) {
             self.tally.peer_batches_dropped += 1;
             return;
         }
         *taken = (*taken).max(place);
-        self.note_bundle_version(batch.bundle);
+        self.poll_newer_bundle(batch.bundle);
         for message in batch.messages {
-            self.take_message(&batch.from, message);
+            self.handle_message(&batch.from, message);
         }
     }
 
     /// Takes a message of a peer, or of this instance itself.
-    pub(super) fn take_message(&mut self, from: &InstanceName, message: PeerMessage) {
+    pub(super) fn handle_message(&mut self, from: &InstanceName, message: PeerMessage) {
         match message {
             PeerMessage::Heartbeat => {}
             PeerMessage::OwnerChanged => self.lease.scan_soon(),
-            PeerMessage::Digest(digest) => self.board.take(self.now, digest),
-            PeerMessage::Points(points) => self.take_points(points),
+            PeerMessage::Digest(digest) => self.digest_cache.update(self.now, digest),
+            PeerMessage::Points(points) => self.handle_points(points),
             PeerMessage::Place {
                 partition,
                 epoch,
@@ -162,14 +162,14 @@
                 key,
                 status,
             } => self.with_team_partition(team_partition, |owner, view, ctx| {
-                owner.take_status(partition, epoch, &key, status, view, ctx);
+                owner.handle_status(partition, epoch, &key, status, view, ctx);
             }),
             PeerMessage::Forward {
                 origin,
                 ticket,
                 command,
-            } => self.take_forwarded(&origin, ticket, *command),
-            PeerMessage::Answer { ticket, answer } => self.take_answer(from, ticket, *answer),
+            } => self.handle_forwarded(&origin, ticket, *command),
+            PeerMessage::Answer { ticket, answer } => self.handle_answer(from, ticket, *answer),
         }
     }
 
--- a/crates/bankvalve_cell/src/instance/routes.rs
+++ b/crates/bankvalve_cell/src/instance/routes.rs
@@ -2,14 +2,14 @@
 
 use super::InstanceCore;
 use crate::ids::{Epoch, InstanceName, PartitionIndex, RegionName, WorkerName};
-use crate::link::{PartitionPoints, ServicePoint};
+use crate::link::{PartitionEndpoints, ServiceEndpoint};
 use crate::membership::PartitionKey;
 
 /// A running task of a service, and the instance to reach it through.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct RoutePoint {
+pub struct ServiceRoute {
     /// The task.
-    pub point: ServicePoint,
+    pub point: ServiceEndpoint,
     /// Region of its worker.
     pub region: RegionName,
     /// Owner of the worker's partition.
@@ -20,7 +20,7 @@
 
 /// A worker of a partition that this instance owns.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct OwnWorker {
+pub struct OwnedWorker {
     /// The worker.
     pub name: WorkerName,
     /// Base URL of its API.
@@ -37,7 +37,7 @@
 
 impl InstanceCore {
     /// Where services run, as last heard.
-    pub fn route_points(&self) -> Vec<RoutePoint> {
+    pub fn service_routes(&self) -> Vec<ServiceRoute> {
         let mut routes = Vec::new();
         for list in self.points.values() {
             let key = PartitionKey::worker(list.partition);
@@ -47,7 +47,7 @@
             let Some((member, _)) = self.roster.row_of(&row.owner) else {
                 continue;
             };
-            routes.extend(list.points.iter().map(|point| RoutePoint {
+            routes.extend(list.points.iter().map(|point| ServiceRoute {
                 point: point.clone(),
                 region: list.region.clone(),
                 owner: row.owner.clone(),
@@ -58,8 +58,8 @@
     }
 
     /// Takes in a list of running tasks of services, unless a later one is known.
-    pub(super) fn take_points(&mut self, list: PartitionPoints) {
-        let place = |list: &PartitionPoints| (list.epoch, list.sequence);
+    pub(super) fn handle_points(&mut self, list: PartitionEndpoints) {
+        let place = |list: &PartitionEndpoints| (list.epoch, list.sequence);
         let known = self.points.get(&list.partition);
         if known.is_none_or(|known| place(known) < place(&list)) {
             self.points.insert(list.partition, list);
@@ -67,7 +67,7 @@
     }
 
     /// Workers that this instance may send requests to.
-    pub fn own_workers(&self) -> Vec<OwnWorker> {
+    pub fn owned_workers(&self) -> Vec<OwnedWorker> {
         self.workers
             .values()
             .flat_map(|owner| owner.serving_workers())
--- a/crates/bankvalve_cell/src/instance/storing.rs
+++ b/crates/bankvalve_cell/src/instance/store_requests.rs
@@ -45,7 +45,7 @@
     ReadBundle,
     AcceptBundle,
     ReadAccepted,
-    Leave,
+    Deregister,
 }
 
 /// What a request to the object store was for.
@@ -56,7 +56,7 @@
 
 impl InstanceCore {
     /// Takes an answer of the table service, or the lack of one.
-    pub(super) fn take_store(&mut self, ticket: Ticket, outcome: StoreOutcome) {
+    pub(super) fn handle_store_outcome(&mut self, ticket: Ticket, outcome: StoreOutcome) {
         let Some((purpose, _)) = self.store_tickets.remove(&ticket) else {
             return;
         };
@@ -66,27 +66,27 @@
             _ => self.store_answered_at = Some(self.now),
         }
         match purpose {
-            StorePurpose::ReadOwnRow => self.take_own_row(outcome),
-            StorePurpose::Register { incarnation } => self.take_registered(incarnation, &outcome),
-            StorePurpose::Renew { sent } => self.take_renewed(sent, &outcome),
-            StorePurpose::ScanPartitions => self.take_partition_scan(outcome),
-            StorePurpose::ScanInstances => self.take_instance_scan(outcome),
+            StorePurpose::ReadOwnRow => self.handle_own_row(outcome),
+            StorePurpose::Register { incarnation } => self.handle_registered(incarnation, &outcome),
+            StorePurpose::Renew { sent } => self.handle_renewed(sent, &outcome),
+            StorePurpose::ScanPartitions => self.handle_partition_scan(outcome),
+            StorePurpose::ScanInstances => self.handle_instance_scan(outcome),
             StorePurpose::Revoke => self.lease.scan_soon(),
-            StorePurpose::Claim { key, row } => self.take_claimed(key, &row, &outcome),
-            StorePurpose::Release { key } => self.take_released(key, &outcome),
-            StorePurpose::LoadTeam { index, epoch } => self.take_team_rows(index, epoch, outcome),
-            StorePurpose::ReadRoster { index, epoch } => self.take_roster(index, epoch, outcome),
+            StorePurpose::Claim { key, row } => self.handle_claimed(key, &row, &outcome),
+            StorePurpose::Release { key } => self.handle_released(key, &outcome),
+            StorePurpose::LoadTeam { index, epoch } => self.handle_team_rows(index, epoch, outcome),
+            StorePurpose::ReadRoster { index, epoch } => self.handle_roster(index, epoch, outcome),
             StorePurpose::WriteRoster {
                 index,
                 epoch,
                 roster,
-            } => self.take_roster_written(index, epoch, roster, &outcome),
-            StorePurpose::Commit => self.take_commit(outcome),
-            StorePurpose::ReadHead => self.take_head(outcome),
-            StorePurpose::ReadBundle => self.take_bundle_row(outcome),
-            StorePurpose::AcceptBundle => self.take_bundle_accepted(&outcome),
-            StorePurpose::ReadAccepted => self.take_accepted_row(outcome),
-            StorePurpose::Leave => self.take_left(),
+            } => self.handle_roster_written(index, epoch, roster, &outcome),
+            StorePurpose::Commit => self.handle_commit(outcome),
+            StorePurpose::ReadHead => self.handle_head(outcome),
+            StorePurpose::ReadBundle => self.handle_bundle_row(outcome),
+            StorePurpose::AcceptBundle => self.handle_bundle_accepted(&outcome),
+            StorePurpose::ReadAccepted => self.handle_accepted_row(outcome),
+            StorePurpose::Deregister => self.handle_deregistered(),
         }
     }
 
@@ -101,12 +101,12 @@
             .map(|(ticket, _)| *ticket)
             .collect();
         for ticket in expired {
-            self.take_store(ticket, StoreOutcome::Lost);
+            self.handle_store_outcome(ticket, StoreOutcome::Lost);
         }
     }
 
     /// Takes an answer of the object store, or the lack of one.
-    pub(super) fn take_object(&mut self, ticket: Ticket, outcome: &ObjectOutcome) {
+    pub(super) fn handle_object_outcome(&mut self, ticket: Ticket, outcome: &ObjectOutcome) {
         let Some(purpose) = self.object_tickets.remove(&ticket) else {
             return;
         };
@@ -119,14 +119,14 @@
     pub(super) fn load_team(&mut self, index: PartitionIndex, epoch: Epoch) {
         let prefix = TeamPartition::row_prefix(index);
         let purpose = StorePurpose::LoadTeam { index, epoch };
-        self.ask_store(purpose, StoreRequest::Scan { prefix });
+        self.send_store_request(purpose, StoreRequest::Scan { prefix });
     }
 
     /// Reads a worker partition's roster after it was claimed.
     pub(super) fn read_roster(&mut self, index: PartitionIndex, epoch: Epoch) {
         let key = crate::membership::roster_key(index);
         let purpose = StorePurpose::ReadRoster { index, epoch };
-        self.ask_store(purpose, StoreRequest::Read { key });
+        self.send_store_request(purpose, StoreRequest::Read { key });
     }
 
     /// Writes a worker partition's roster, if the partition is still owned.
@@ -149,10 +149,10 @@
             epoch,
             roster,
         };
-        self.ask_store(purpose, StoreRequest::Apply(txn));
+        self.send_store_request(purpose, StoreRequest::Apply(txn));
     }
 
-    fn take_team_rows(&mut self, index: PartitionIndex, epoch: Epoch, outcome: StoreOutcome) {
+    fn handle_team_rows(&mut self, index: PartitionIndex, epoch: Epoch, outcome: StoreOutcome) {
         let current = self.teams.get(&index).map(TeamPartition::epoch);
         if current != Some(epoch) {
             return;
@@ -169,7 +169,7 @@
         }
     }
 
-    fn take_roster(&mut self, index: PartitionIndex, epoch: Epoch, outcome: StoreOutcome) {
+    fn handle_roster(&mut self, index: PartitionIndex, epoch: Epoch, outcome: StoreOutcome) {
         let Some(owner) = self.workers.get_mut(&index) else {
             return;
         };
@@ -182,11 +182,11 @@
         };
         let decode = |row: &RowImage| Some((WorkerRoster::decode(&row.value)?, row.version));
         let (roster, version) = rows.first().and_then(decode).unwrap_or_default();
-        owner.note_roster_version(version);
+        owner.set_roster_version(version);
         self.write_roster(index, roster);
     }
 
-    fn take_roster_written(
+    fn handle_roster_written(
         &mut self,
         index: PartitionIndex,
         epoch: Epoch,
@@ -202,8 +202,8 @@
         }
         match outcome {
             StoreOutcome::Applied { version } => {
-                owner.take_roster(roster, *version, now);
-                self.give_list(index);
+                owner.handle_roster(roster, *version, now);
+                self.update_listed_workers(index);
             }
             _ => {
                 owner.roster_failed();
--- a/crates/bankvalve_cell/src/link/caller_command.rs
+++ b/crates/bankvalve_cell/src/link/caller_command.rs
@@ -91,7 +91,7 @@
 
 impl Refusal {
     /// Makes a refusal that coming back does not help.
-    pub fn lasting(reason: RefusalReason, detail: impl Into<String>) -> Self {
+    pub fn permanent(reason: RefusalReason, detail: impl Into<String>) -> Self {
         Self {
             reason,
             detail: detail.into(),
@@ -101,10 +101,14 @@
     }
 
     /// Makes a refusal that ends by itself after a while.
-    pub fn passing(reason: RefusalReason, detail: impl Into<String>, retry_after_ms: u64) -> Self {
+    pub fn temporary(
+        reason: RefusalReason,
+        detail: impl Into<String>,
+        retry_after_ms: u64,
+    ) -> Self {
         Self {
             retry_after_ms: Some(retry_after_ms),
-            ..Self::lasting(reason, detail)
+            ..Self::permanent(reason, detail)
         }
     }
 
@@ -112,7 +116,7 @@
     pub fn field(problem: SpecProblem) -> Self {
         Self {
             field: Some(problem.field),
-            ..Self::lasting(RefusalReason::Malformed, problem.expected)
+            ..Self::permanent(RefusalReason::Malformed, problem.expected)
         }
     }
 }
@@ -186,7 +190,7 @@
     pub detail: InstanceDetail,
     /// Its life.
     pub incarnation: Incarnation,
-    /// State: `live`, `stopping` or `silent`.
+    /// State: `live`, `stopping` or `unresponsive`.
     pub state: String,
     /// Partitions that it owns.
     pub partitions: u32,
--- a/crates/bankvalve_cell/src/link/mod.rs
+++ b/crates/bankvalve_cell/src/link/mod.rs
@@ -10,8 +10,8 @@
     WorkerView,
 };
 pub use peer_message::{
-    LinkFailure, PartitionDigest, PartitionPoints, PeerMessage, PlaceGate, PlaceOrder,
-    PlacementStatus, RoomGroup, ServicePoint,
+    CapacityGroup, LinkFailure, PartitionDigest, PartitionEndpoints, PeerMessage, PlaceGate,
+    PlaceOrder, PlacementStatus, ServiceEndpoint,
 };
 pub use store_request::{
     ObjectOutcome, ObjectRequest, RowCondition, RowImage, RowWrite, StoreOutcome, StoreRequest,
--- a/crates/bankvalve_cell/src/link/peer_message.rs
+++ b/crates/bankvalve_cell/src/link/peer_message.rs
@@ -100,7 +100,7 @@
 
 /// Room in the part of a worker partition that lies in one failure domain.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct RoomGroup {
+pub struct CapacityGroup {
     /// The failure domain.
     pub domain: DomainName,
     /// Workers that take new work.
@@ -117,7 +117,7 @@
 
 /// A running task of a service.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ServicePoint {
+pub struct ServiceEndpoint {
     /// The service.
     pub service: ServiceName,
     /// The task.
@@ -142,12 +142,12 @@
     /// Tasks waiting in its queue.
     pub queued: u32,
     /// Room by failure domain.
-    pub groups: Vec<RoomGroup>,
+    pub groups: Vec<CapacityGroup>,
 }
 
 /// Running tasks of services in a worker partition.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct PartitionPoints {
+pub struct PartitionEndpoints {
     /// The partition.
     pub partition: PartitionIndex,
     /// Its owner's epoch.
@@ -157,7 +157,7 @@
     /// Region that it lies in.
     pub region: RegionName,
     /// The tasks.
-    pub points: Vec<ServicePoint>,
+    pub points: Vec<ServiceEndpoint>,
 }
 
 /// A message between two entry instances.
@@ -170,7 +170,7 @@
     /// Summary of a worker partition.
     Digest(PartitionDigest),
     /// Running tasks of services in a worker partition.
-    Points(PartitionPoints),
+    Points(PartitionEndpoints),
     /// Order to place an attempt; goes to a worker partition's owner.
     Place {
         /// The partition.
--- a/crates/bankvalve_cell/src/membership/member_roster.rs
+++ b/crates/bankvalve_cell/src/membership/member_roster.rs
@@ -53,7 +53,7 @@
     ///
     /// `gap_limit` is the longest time between two scans that still counts
     /// as silence of a row that did not change.
-    pub fn take_scan(
+    pub fn handle_scan(
         &mut self,
         now: CellTime,
         rows: Vec<(RowVersion, InstanceRow)>,
@@ -96,7 +96,7 @@
     }
 
     /// Tells whether a life of an instance is over for good.
-    pub fn is_over(&self, name: &str, incarnation: Incarnation) -> bool {
+    pub fn has_ended(&self, name: &str, incarnation: Incarnation) -> bool {
         match self.members.get(name) {
             None => true,
             Some(entry) => entry.row.revoked || entry.row.incarnation != incarnation,
@@ -130,7 +130,7 @@
     }
 
     /// Rows of instances that have been silent for longer than a lease.
-    pub fn silent(&self, lease: Duration) -> Vec<(InstanceRow, RowVersion)> {
+    pub fn unresponsive(&self, lease: Duration) -> Vec<(InstanceRow, RowVersion)> {
         self.members
             .values()
             .filter(|entry| !entry.row.revoked && entry.unchanged_for > lease)
--- a/crates/bankvalve_cell/src/membership/rendezvous.rs
+++ b/crates/bankvalve_cell/src/membership/rendezvous.rs
@@ -64,11 +64,11 @@
                 .total_cmp(&a_score)
                 .then_with(|| a.name.cmp(&b.name))
         });
-        let has_room = |member: &&&Candidate| {
+        let has_capacity = |member: &&&Candidate| {
             let load = loads.get(&(key.is_team(), member.name.as_str()));
             load.copied().unwrap_or(0) < load_bound(same, u64::from(member.weight), total)
         };
-        let chosen = ranked.iter().find(has_room).or_else(|| ranked.first());
+        let chosen = ranked.iter().find(has_capacity).or_else(|| ranked.first());
         if let Some(member) = chosen {
             *loads.entry((key.is_team(), &member.name)).or_default() += 1;
             owners.insert(*key, member.name.clone());
--- a/crates/bankvalve_cell/src/owner/cell_timings.rs
+++ b/crates/bankvalve_cell/src/owner/cell_timings.rs
@@ -43,9 +43,9 @@
     /// Time after which a queued task may be moved to another partition.
     pub move_after: Duration,
     /// Time in which all tasks of a gang must hold room.
-    pub gang_hold: Duration,
+    pub gang_reservation_timeout: Duration,
     /// Time that a hold lasts without being asked for again.
-    pub hold_lapse: Duration,
+    pub reservation_timeout: Duration,
     /// Time after which a caller's command counts as unanswered.
     pub command_answer: Duration,
     /// First time that a worker is quarantined for failing everything.
@@ -73,8 +73,8 @@
             digest: Duration::from_millis(500),
             repeat: Duration::from_secs(2),
             move_after: Duration::from_secs(3),
-            gang_hold: Duration::from_secs(8),
-            hold_lapse: Duration::from_secs(10),
+            gang_reservation_timeout: Duration::from_secs(8),
+            reservation_timeout: Duration::from_secs(10),
             command_answer: Duration::from_secs(6),
             quarantine: Duration::from_secs(30),
             peer_pace: Duration::from_millis(20),
--- a/crates/bankvalve_cell/src/owner/guard_set.rs
+++ b/crates/bankvalve_cell/src/owner/guard_set.rs
@@ -73,23 +73,23 @@
 /// use bankvalve_cell::owner::{GuardName, GuardSet};
 ///
 /// let guards = GuardSet::without(GuardName::ReadBack);
-/// assert!(!guards.has(GuardName::ReadBack));
-/// assert!(GuardSet::default().has(GuardName::ReadBack));
+/// assert!(!guards.enforces(GuardName::ReadBack));
+/// assert!(GuardSet::default().enforces(GuardName::ReadBack));
 /// ```
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct GuardSet {
-    missing: Option<GuardName>,
+    disabled: Option<GuardName>,
 }
 
 impl GuardSet {
     /// All guards but one.
     pub fn without(name: GuardName) -> Self {
-        let missing = Some(name);
-        Self { missing }
+        let disabled = Some(name);
+        Self { disabled }
     }
 
     /// Tells whether a guard is in force.
-    pub fn has(self, name: GuardName) -> bool {
-        self.missing != Some(name)
+    pub fn enforces(self, name: GuardName) -> bool {
+        self.disabled != Some(name)
     }
 }
--- a/crates/bankvalve_cell/src/owner/owner_context.rs
+++ b/crates/bankvalve_cell/src/owner/owner_context.rs
@@ -73,17 +73,17 @@
 
 impl OwnerContext<'_> {
     /// Asks for something to be done.
-    pub fn act(&mut self, action: OwnerAction) {
+    pub fn push_action(&mut self, action: OwnerAction) {
         self.actions.push(action);
     }
 
     /// Says something to the owner of a team partition.
-    pub fn tell_team(&mut self, partition: PartitionIndex, message: PeerMessage) {
-        self.act(OwnerAction::ToTeamPartition { partition, message });
+    pub fn send_to_team_owner(&mut self, partition: PartitionIndex, message: PeerMessage) {
+        self.push_action(OwnerAction::ToTeamPartition { partition, message });
     }
 
     /// Says something to the owner of a worker partition.
-    pub fn tell_worker_owner(&mut self, partition: PartitionIndex, message: PeerMessage) {
-        self.act(OwnerAction::ToWorkerPartition { partition, message });
+    pub fn send_to_worker_owner(&mut self, partition: PartitionIndex, message: PeerMessage) {
+        self.push_action(OwnerAction::ToWorkerPartition { partition, message });
     }
 }
--- a/crates/bankvalve_cell/src/owner/team/watching.rs
+++ b/crates/bankvalve_cell/src/owner/team/attempt_messages.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use super::attempt_book::AttemptWatch;
+use super::attempt_tracker::TrackedAttempt;
 use super::commit::Proposal;
 use super::team_partition::{TeamPartition, TeamView};
 use crate::ids::{CellTime, Epoch, PartitionIndex, RowVersion};
@@ -11,7 +11,7 @@
     PeerMessage, PlaceGate, PlaceOrder, PlacementStatus, TaskId, TaskKey, TaskLabel, TaskOutcome,
 };
 use crate::owner::{GuardName, OwnerContext};
-use crate::placement::{PartitionChoice, PlaceWish};
+use crate::placement::{PartitionChoice, PlacementRequirements};
 use crate::refusal::{RefusalReason, RetryReason};
 use crate::tally::InvariantKind;
 
@@ -22,7 +22,7 @@
 
 impl TeamPartition {
     /// Takes word of how an attempt stands.
-    pub fn take_status(
+    pub fn handle_status(
         &mut self,
         partition: PartitionIndex,
         epoch: Epoch,
@@ -39,20 +39,20 @@
             self.answer_inactive(partition, epoch, key, &status, ctx);
             return;
         }
-        if self.busy.contains(&id) {
+        if self.uncommitted_tasks.contains(&id) {
             return;
         }
         match status {
-            PlacementStatus::Queued => self.note_watch(&id, |watch| {
-                watch.queued = true;
-                watch.held = false;
+            PlacementStatus::Queued => self.update_tracked(&id, |tracked| {
+                tracked.queued = true;
+                tracked.held = false;
             }),
             PlacementStatus::Held => {
-                self.note_watch(&id, |watch| {
-                    watch.queued = false;
-                    watch.held = true;
+                self.update_tracked(&id, |tracked| {
+                    tracked.queued = false;
+                    tracked.held = true;
                 });
-                self.hasten_job(&id.team, &id.job, ctx.now, |watch| !watch.held);
+                self.make_job_due(&id.team, &id.job, ctx.now, |tracked| !tracked.held);
             }
             PlacementStatus::Unfenced => {}
             PlacementStatus::Started {
@@ -61,11 +61,11 @@
                 rack,
                 leaving,
             } => {
-                self.note_watch(&id, |watch| {
-                    watch.queued = false;
-                    watch.leaving = leaving;
+                self.update_tracked(&id, |tracked| {
+                    tracked.queued = false;
+                    tracked.leaving = leaving;
                 });
-                self.note_running(&id, ctx);
+                self.record_running(&id, ctx);
                 let job = self.ledger.job(&id.team, &id.job).expect("active");
                 if job.tasks[id.task as usize].worker.is_none() {
                     self.propose(Proposal::of(LedgerEvent::Started {
@@ -99,7 +99,7 @@
             }
             PlacementStatus::Lost => {
                 ctx.tally.retry(RetryReason::TaskLost);
-                let reason = if ctx.guards.has(GuardName::RepeatOnlyIfAllowed) {
+                let reason = if ctx.guards.enforces(GuardName::RepeatOnlyIfAllowed) {
                     ReleaseReason::Lost
                 } else {
                     ReleaseReason::NotRun(RefusalReason::WorkerUnreachable)
@@ -108,7 +108,7 @@
             }
             PlacementStatus::NotRun(why) => {
                 ctx.tally.retry(RetryReason::PlacementRefused);
-                self.note_come_back(&id, why, ctx);
+                self.record_returned(&id, why, ctx);
                 let reason = ReleaseReason::NotRun(why);
                 self.propose_release(partition, epoch, key, reason, view, ctx);
             }
@@ -118,43 +118,43 @@
     /// Marks attempts to be withdrawn; the orders go out with what is due.
     pub(super) fn withdraw_all(&mut self, ids: &[TaskId]) {
         for id in ids {
-            self.watches.edit(id, |watch| {
-                if !watch.withdrawing {
-                    watch.withdrawing = true;
-                    watch.next_say = CellTime::ZERO;
+            self.tracked_attempts.edit(id, |tracked| {
+                if !tracked.withdrawing {
+                    tracked.withdrawing = true;
+                    tracked.next_send = CellTime::ZERO;
                 }
             });
         }
     }
 
     /// Makes what is to be said of a job's attempts due at once.
-    pub(super) fn hasten_job(
+    pub(super) fn make_job_due(
         &mut self,
         team: &str,
         job: &str,
         now: CellTime,
-        which: impl Fn(&AttemptWatch) -> bool,
+        which: impl Fn(&TrackedAttempt) -> bool,
     ) {
         for id in self.ledger.task_ids(team, job) {
-            self.watches.edit(&id, |watch| {
-                if which(watch) {
-                    watch.next_say = now;
+            self.tracked_attempts.edit(&id, |tracked| {
+                if which(tracked) {
+                    tracked.next_send = now;
                 }
             });
         }
     }
 
     /// Says again what has had no answer.
-    pub(super) fn say_what_is_due(&mut self, view: &TeamView<'_>, ctx: &mut OwnerContext<'_>) {
+    pub(super) fn send_due_messages(&mut self, view: &TeamView<'_>, ctx: &mut OwnerContext<'_>) {
         let epochs = view.worker_rows.iter().map(|(index, row)| (index, row.0));
-        self.watches.note_epochs(ctx.now, epochs);
-        for id in self.watches.due_by(ctx.now) {
-            self.say(&id, view, ctx);
+        self.tracked_attempts.record_epochs(ctx.now, epochs);
+        for id in self.tracked_attempts.due_by(ctx.now) {
+            self.send_order_or_withdrawal(&id, view, ctx);
         }
     }
 
     /// Sends an order before its intent is committed; only a check that takes the guard away does.
-    pub(super) fn say_before_commit(
+    pub(super) fn send_before_commit(
         &mut self,
         id: &TaskId,
         attempt: u32,
@@ -172,7 +172,12 @@
         job.tasks[id.task as usize].placed_in()
     }
 
-    fn say(&mut self, id: &TaskId, view: &TeamView<'_>, ctx: &mut OwnerContext<'_>) {
+    fn send_order_or_withdrawal(
+        &mut self,
+        id: &TaskId,
+        view: &TeamView<'_>,
+        ctx: &mut OwnerContext<'_>,
+    ) {
         let Some((partition, intent_epoch)) = self.placed_in(id) else {
             return;
         };
@@ -194,16 +199,16 @@
         let now = ctx.now;
         let mut repeated = false;
         let mut withdrawing = false;
-        self.watches.edit(id, |watch| {
-            if watch.said_epoch != Some(epoch) {
-                watch.queued = false;
-                watch.held = false;
+        self.tracked_attempts.edit(id, |tracked| {
+            if tracked.sent_epoch != Some(epoch) {
+                tracked.queued = false;
+                tracked.held = false;
             }
-            repeated = watch.said_epoch.is_some() && !running && !watch.held && !watch.queued;
-            withdrawing = watch.withdrawing;
-            let settled = running && !withdrawing && watch.said_epoch == Some(epoch);
-            watch.next_say = now + if settled { ASK_RUNNING } else { repeat };
-            watch.said_epoch = Some(epoch);
+            repeated = tracked.sent_epoch.is_some() && !running && !tracked.held && !tracked.queued;
+            withdrawing = tracked.withdrawing;
+            let settled = running && !withdrawing && tracked.sent_epoch == Some(epoch);
+            tracked.next_send = now + if settled { ASK_RUNNING } else { repeat };
+            tracked.sent_epoch = Some(epoch);
         });
         if repeated {
             ctx.tally.retry(RetryReason::PlacementUnanswered);
@@ -224,14 +229,14 @@
                 },
                 only_waiting: false,
             };
-            ctx.tell_worker_owner(partition, message);
+            ctx.send_to_worker_owner(partition, message);
             return;
         }
-        if waits_for_commit && !self.is_turn_to_hold(id) {
+        if waits_for_commit && !self.may_reserve(id) {
             return;
         }
         if self.should_move(id, view, ctx) {
-            self.ask_back(&key, partition, epoch, intent_epoch, ctx);
+            self.withdraw_if_waiting(&key, partition, epoch, intent_epoch, ctx);
             return;
         }
         let gate = if waits_for_commit {
@@ -245,23 +250,25 @@
     }
 
     /// Tells whether all tasks of the gang in earlier partitions hold room.
-    fn is_turn_to_hold(&self, id: &TaskId) -> bool {
+    fn may_reserve(&self, id: &TaskId) -> bool {
         let Some((own, _)) = self.placed_in(id) else {
             return false;
         };
         let name = (id.team.clone(), id.job.clone());
-        self.gang_turns.get(&name).is_none_or(|turn| own <= *turn)
+        self.gang_reserving_in
+            .get(&name)
+            .is_none_or(|turn| own <= *turn)
     }
 
     /// Tells whether an attempt has queued for long while another partition has room.
     fn should_move(&mut self, id: &TaskId, view: &TeamView<'_>, ctx: &OwnerContext<'_>) -> bool {
-        let Some(watch) = self.watches.get(id) else {
+        let Some(tracked) = self.tracked_attempts.get(id) else {
             return false;
         };
-        if !watch.queued || !view.store_answers {
+        if !tracked.queued || !view.store_available {
             return false;
         }
-        let since = watch.since;
+        let since = tracked.since;
         let Some((partition, _)) = self.placed_in(id) else {
             return false;
         };
@@ -276,21 +283,23 @@
         }
         let rules = super::scheduling::rules_of(job, ctx);
         let spread = super::scheduling::spread_of(job);
-        let wish = PlaceWish {
+        let requirements = PlacementRequirements {
             need: job.reserve,
             rules: &rules,
             urgent: job.spec.urgent,
             service: job.spec.service().is_some(),
             spread: &spread,
             may_queue: false,
-            except: Some(partition),
-            together: 1,
+            excluded: Some(partition),
+            gang_size: 1,
         };
-        let choice = view.board.choose(&wish, &self.policy, &mut self.rng);
+        let choice = view
+            .digest_cache
+            .choose(&requirements, &self.policy, &mut self.rng);
         choice.is_some()
     }
 
-    fn ask_back(
+    fn withdraw_if_waiting(
         &self,
         key: &TaskKey,
         partition: PartitionIndex,
@@ -309,7 +318,7 @@
             outcome: TaskOutcome::Preempted,
             only_waiting: true,
         };
-        ctx.tell_worker_owner(partition, message);
+        ctx.send_to_worker_owner(partition, message);
     }
 
     fn order_for(
@@ -360,7 +369,7 @@
             epoch,
             order,
         };
-        ctx.tell_worker_owner(partition, message);
+        ctx.send_to_worker_owner(partition, message);
     }
 
     fn propose_release(
@@ -401,7 +410,7 @@
         );
         if over {
             let key = key.clone();
-            ctx.tell_worker_owner(partition, PeerMessage::EndRecorded { partition, key });
+            ctx.send_to_worker_owner(partition, PeerMessage::EndRecorded { partition, key });
             return;
         }
         let message = PeerMessage::Withdraw {
@@ -415,20 +424,20 @@
             outcome: TaskOutcome::Cancelled,
             only_waiting: false,
         };
-        ctx.tell_worker_owner(partition, message);
+        ctx.send_to_worker_owner(partition, message);
     }
 
-    fn note_running(&mut self, id: &TaskId, ctx: &OwnerContext<'_>) {
+    fn record_running(&mut self, id: &TaskId, ctx: &OwnerContext<'_>) {
         let next = ctx.now + ASK_RUNNING;
-        self.note_watch(id, |watch| {
-            if !watch.withdrawing {
-                watch.next_say = next;
+        self.update_tracked(id, |tracked| {
+            if !tracked.withdrawing {
+                tracked.next_send = next;
             }
         });
     }
 
-    fn note_watch(&mut self, id: &TaskId, change: impl FnOnce(&mut AttemptWatch)) {
-        self.watches.edit(id, change);
+    fn update_tracked(&mut self, id: &TaskId, change: impl FnOnce(&mut TrackedAttempt)) {
+        self.tracked_attempts.edit(id, change);
     }
 }
 
@@ -440,7 +449,7 @@
     ctx: &OwnerContext<'_>,
 ) -> Option<RowVersion> {
     let (known, version) = view.worker_rows.get(&partition).copied()?;
-    (known == epoch || !ctx.guards.has(GuardName::ReleaseFence)).then_some(version)
+    (known == epoch || !ctx.guards.enforces(GuardName::ReleaseFence)).then_some(version)
 }
 
 fn end_recorded(partition: PartitionIndex, key: &TaskKey) -> crate::owner::OwnerAction {
--- a/crates/bankvalve_cell/src/owner/team/attempt_book.rs
+++ b/crates/bankvalve_cell/src/owner/team/attempt_tracker.rs
@@ -7,11 +7,11 @@
 
 /// An attempt that may be running, and what was last said and heard of it.
 #[derive(Clone, Debug)]
-pub(super) struct AttemptWatch {
+pub(super) struct TrackedAttempt {
     pub(super) attempt: Attempt,
     pub(super) partition: PartitionIndex,
-    pub(super) next_say: CellTime,
-    pub(super) said_epoch: Option<Epoch>,
+    pub(super) next_send: CellTime,
+    pub(super) sent_epoch: Option<Epoch>,
     pub(super) since: CellTime,
     pub(super) queued: bool,
     pub(super) held: bool,
@@ -19,13 +19,13 @@
     pub(super) withdrawing: bool,
 }
 
-impl AttemptWatch {
+impl TrackedAttempt {
     pub(super) fn new(attempt: Attempt, partition: PartitionIndex, now: CellTime) -> Self {
         Self {
             attempt,
             partition,
-            next_say: now,
-            said_epoch: None,
+            next_send: now,
+            sent_epoch: None,
             since: now,
             queued: false,
             held: false,
@@ -40,45 +40,45 @@
 /// A step looks only at what is due, so that its cost does not grow with
 /// what merely runs.
 #[derive(Clone, Debug, Default)]
-pub(super) struct AttemptBook {
-    watches: BTreeMap<TaskId, AttemptWatch>,
+pub(super) struct AttemptTracker {
+    tracked_attempts: BTreeMap<TaskId, TrackedAttempt>,
     due: BTreeSet<(CellTime, TaskId)>,
     placed: BTreeMap<PartitionIndex, BTreeSet<TaskId>>,
     epochs: BTreeMap<PartitionIndex, Epoch>,
 }
 
-impl AttemptBook {
-    pub(super) fn get(&self, id: &TaskId) -> Option<&AttemptWatch> {
-        self.watches.get(id)
+impl AttemptTracker {
+    pub(super) fn get(&self, id: &TaskId) -> Option<&TrackedAttempt> {
+        self.tracked_attempts.get(id)
     }
 
     /// Puts a watch in, in place of one for an earlier attempt.
-    pub(super) fn insert(&mut self, id: &TaskId, watch: AttemptWatch) {
+    pub(super) fn insert(&mut self, id: &TaskId, tracked: TrackedAttempt) {
         self.remove(id);
-        self.due.insert((watch.next_say, id.clone()));
-        let placed = self.placed.entry(watch.partition).or_default();
+        self.due.insert((tracked.next_send, id.clone()));
+        let placed = self.placed.entry(tracked.partition).or_default();
         placed.insert(id.clone());
-        self.watches.insert(id.clone(), watch);
+        self.tracked_attempts.insert(id.clone(), tracked);
     }
 
     pub(super) fn remove(&mut self, id: &TaskId) {
-        let Some(watch) = self.watches.remove(id) else {
+        let Some(tracked) = self.tracked_attempts.remove(id) else {
             return;
         };
-        self.due.remove(&(watch.next_say, id.clone()));
-        if let Some(placed) = self.placed.get_mut(&watch.partition) {
+        self.due.remove(&(tracked.next_send, id.clone()));
+        if let Some(placed) = self.placed.get_mut(&tracked.partition) {
             placed.remove(id);
         }
     }
 
     /// Changes a watch, if there is one.
-    pub(super) fn edit(&mut self, id: &TaskId, change: impl FnOnce(&mut AttemptWatch)) {
-        let Some(watch) = self.watches.get_mut(id) else {
+    pub(super) fn edit(&mut self, id: &TaskId, change: impl FnOnce(&mut TrackedAttempt)) {
+        let Some(tracked) = self.tracked_attempts.get_mut(id) else {
             return;
         };
-        let before = watch.next_say;
-        change(watch);
-        let after = watch.next_say;
+        let before = tracked.next_send;
+        change(tracked);
+        let after = tracked.next_send;
         if before != after {
             self.due.remove(&(before, id.clone()));
             self.due.insert((after, id.clone()));
@@ -92,7 +92,7 @@
     }
 
     /// Makes the watches of worker partitions that have a new owner due.
-    pub(super) fn note_epochs<'a>(
+    pub(super) fn record_epochs<'a>(
         &mut self,
         now: CellTime,
         epochs: impl Iterator<Item = (&'a PartitionIndex, Epoch)>,
@@ -105,7 +105,9 @@
             }
         }
         for id in moved {
-            self.edit(&id, |watch| watch.next_say = watch.next_say.min(now));
+            self.edit(&id, |tracked| {
+                tracked.next_send = tracked.next_send.min(now)
+            });
         }
     }
 }
--- a/crates/bankvalve_cell/src/owner/team/commands.rs
+++ b/crates/bankvalve_cell/src/owner/team/commands.rs
@@ -15,7 +15,7 @@
 /// Batches that may wait to be archived before new jobs are refused.
 const ARCHIVE_LIMIT: usize = 4_096;
 /// Time after which a refused caller may come back, in milliseconds.
-const COME_BACK_MS: u64 = 2_000;
+const RETRY_AFTER_MS: u64 = 2_000;
 
 impl TeamPartition {
     /// Takes a command; the answer may have to wait for a commit.
@@ -49,7 +49,7 @@
         if let CallerAnswer::NotRun(refusal) = &answer {
             ctx.tally.refuse(refusal.reason);
         }
-        ctx.act(OwnerAction::Answer {
+        ctx.push_action(OwnerAction::Answer {
             origin,
             ticket,
             answer,
@@ -59,7 +59,7 @@
     /// Answers everybody who still waits for a commit that this owner will not see.
     pub fn abandon(&mut self, ctx: &mut OwnerContext<'_>) {
         let detail = "the team's partition has changed hands";
-        let refusal = Refusal::passing(RefusalReason::NoOwner, detail, COME_BACK_MS);
+        let refusal = Refusal::temporary(RefusalReason::NoOwner, detail, RETRY_AFTER_MS);
         for proposal in std::mem::take(&mut self.pending) {
             refuse_waiting(proposal, &refusal, ctx);
         }
@@ -72,7 +72,7 @@
             return;
         }
         let detail = "the table service does not answer; nothing was recorded";
-        let refusal = Refusal::passing(RefusalReason::StoreUnavailable, detail, COME_BACK_MS);
+        let refusal = Refusal::temporary(RefusalReason::StoreUnavailable, detail, RETRY_AFTER_MS);
         let pending = std::mem::take(&mut self.pending);
         let (jobs, rest): (Vec<_>, Vec<_>) = pending.into_iter().partition(submits);
         self.pending = rest;
@@ -123,9 +123,9 @@
 
     fn pending_submission(&mut self, team: &str, job: &str) -> Option<&mut Proposal> {
         let in_flight = self
-            .flight
+            .batch_in_flight
             .iter_mut()
-            .flat_map(|flight| flight.proposals_mut());
+            .flat_map(|batch_in_flight| batch_in_flight.proposals_mut());
         let mut all = in_flight.chain(self.pending.iter_mut());
         all.find(|proposal| {
             matches!(&proposal.event, LedgerEvent::Submitted { spec, .. }
@@ -142,26 +142,26 @@
         spec.check().map_err(Refusal::field)?;
         let Some(contract) = ctx.bundle.teams.get(&spec.team) else {
             let detail = format!("expected a team of the bundle, found {}", spec.team);
-            return Err(Refusal::lasting(RefusalReason::UnknownTeam, detail));
+            return Err(Refusal::permanent(RefusalReason::UnknownTeam, detail));
         };
         check_quota(spec, contract)?;
         check_possible(spec, contract, view.listed)?;
-        if !view.store_answers {
+        if !view.store_available {
             let detail = "the table service does not answer; nothing was recorded";
             let reason = RefusalReason::StoreUnavailable;
-            return Err(Refusal::passing(reason, detail, COME_BACK_MS));
+            return Err(Refusal::temporary(reason, detail, RETRY_AFTER_MS));
         }
         if self.log.len() > ARCHIVE_LIMIT {
             let detail = "too many finished batches wait to be archived";
             let reason = RefusalReason::ArchiveBacklog;
-            return Err(Refusal::passing(reason, detail, COME_BACK_MS));
+            return Err(Refusal::temporary(reason, detail, RETRY_AFTER_MS));
         }
         if self.pending.len() > PENDING_LIMIT {
             let detail = "too many events wait to be committed";
-            return Err(Refusal::passing(
+            return Err(Refusal::temporary(
                 RefusalReason::QueueFull,
                 detail,
-                COME_BACK_MS,
+                RETRY_AFTER_MS,
             ));
         }
         Ok(())
@@ -182,10 +182,10 @@
         if state.cancelled || state.phase() != crate::ledger::JobPhase::Active {
             return Some(CallerAnswer::Cancelled);
         }
-        if !view.store_answers {
+        if !view.store_available {
             let detail = "the table service does not answer; the job goes on";
             let reason = RefusalReason::StoreUnavailable;
-            let refusal = Refusal::passing(reason, detail, COME_BACK_MS);
+            let refusal = Refusal::temporary(reason, detail, RETRY_AFTER_MS);
             return Some(CallerAnswer::NotRun(refusal));
         }
         let event = LedgerEvent::Cancelled {
@@ -247,7 +247,7 @@
         if let OwnerAction::Answer { origin, ticket, .. } = effect {
             ctx.tally.refuse(refusal.reason);
             let answer = CallerAnswer::NotRun(refusal.clone());
-            ctx.act(OwnerAction::Answer {
+            ctx.push_action(OwnerAction::Answer {
                 origin,
                 ticket,
                 answer,
@@ -280,12 +280,12 @@
         "expected the content that job {} was accepted with",
         spec.id
     );
-    Refusal::lasting(RefusalReason::JobConflict, detail)
+    Refusal::permanent(RefusalReason::JobConflict, detail)
 }
 
 fn unknown_job(team: &str, job: &str) -> CallerAnswer {
     let detail = format!("no job {job} of team {team} is known");
-    CallerAnswer::NotRun(Refusal::lasting(RefusalReason::UnknownJob, detail))
+    CallerAnswer::NotRun(Refusal::permanent(RefusalReason::UnknownJob, detail))
 }
 
 /// Checks that the job's smallest possible use fits the team's quota.
@@ -299,7 +299,7 @@
         return Ok(());
     }
     let detail = format!("needs {least} at once, and the quota is {}", contract.quota);
-    Err(Refusal::lasting(RefusalReason::CanNeverRun, detail))
+    Err(Refusal::permanent(RefusalReason::CanNeverRun, detail))
 }
 
 /// Checks that the listed workers, if empty, could hold the job.
@@ -310,10 +310,10 @@
 ) -> Result<(), Refusal> {
     if listed.is_empty() {
         let detail = "the instance list has not been read yet";
-        return Err(Refusal::passing(
+        return Err(Refusal::temporary(
             RefusalReason::NoOwner,
             detail,
-            COME_BACK_MS,
+            RETRY_AFTER_MS,
         ));
     }
     let rules: [&PlaceRule; 2] = [&spec.place, &contract.place];
@@ -330,7 +330,7 @@
             spec.place.deny,
             contract.place.deny
         );
-        return Err(Refusal::lasting(RefusalReason::CanNeverRun, detail));
+        return Err(Refusal::permanent(RefusalReason::CanNeverRun, detail));
     }
     let hold = |worker: &&ListedWorker| worker.detail.size.count_of(spec.size);
     let at_once: u64 = admitted.iter().map(|worker| u64::from(hold(worker))).sum();
@@ -351,5 +351,5 @@
         spec.size,
         admitted.len()
     );
-    Err(Refusal::lasting(RefusalReason::CanNeverRun, detail))
+    Err(Refusal::permanent(RefusalReason::CanNeverRun, detail))
 }
--- a/crates/bankvalve_cell/src/owner/team/commit.rs
+++ b/crates/bankvalve_cell/src/owner/team/commit.rs
@@ -53,7 +53,7 @@
 
 /// A batch that was sent to the table service.
 #[derive(Debug)]
-pub(super) struct Flight {
+pub(super) struct InFlightBatch {
     sequence: u64,
     bytes: Vec<u8>,
     proposals: Vec<Proposal>,
@@ -82,7 +82,7 @@
     /// Puts an event in line for the next commit.
     pub(super) fn propose(&mut self, proposal: Proposal) {
         if let Some(task) = proposal.task() {
-            self.busy.insert(task);
+            self.uncommitted_tasks.insert(task);
         }
         if let Some((team, size, _)) = &proposal.usage {
             let pending = self.pending_usage.entry(team.clone()).or_default();
@@ -93,7 +93,7 @@
 
     /// Adds the next batch to a transaction; returns whether there was one.
     pub fn begin_flush(&mut self, txn: &mut TableTransaction, ctx: &OwnerContext<'_>) -> bool {
-        if !self.loaded || self.flight.is_some() || self.pending.is_empty() {
+        if !self.loaded || self.batch_in_flight.is_some() || self.pending.is_empty() {
             return false;
         }
         let rest = self.pending.split_off(self.pending.len().min(BATCH_LIMIT));
@@ -117,7 +117,7 @@
         } else {
             Vec::new()
         };
-        self.flight = Some(Flight {
+        self.batch_in_flight = Some(InFlightBatch {
             sequence: batch.sequence,
             bytes,
             proposals,
@@ -133,16 +133,18 @@
     }
 
     /// Tells whether a head row is the one that the batch in flight writes.
-    pub fn is_own_head(&self, value: &[u8]) -> bool {
+    pub fn is_head_in_flight(&self, value: &[u8]) -> bool {
         let head = rmp_serde::from_slice::<HeadRow>(value).ok();
-        let flight = self.flight.as_ref();
-        head.zip(flight).is_some_and(|(head, flight)| {
-            head.sequence == flight.sequence && head.hash == LedgerBatch::hash_of(&flight.bytes)
-        })
+        let batch_in_flight = self.batch_in_flight.as_ref();
+        head.zip(batch_in_flight)
+            .is_some_and(|(head, batch_in_flight)| {
+                head.sequence == batch_in_flight.sequence
+                    && head.hash == LedgerBatch::hash_of(&batch_in_flight.bytes)
+            })
     }
 
     /// Tells whether a head row names the last batch that was read.
-    pub(super) fn is_headed_by(&self, row: Option<&RowImage>) -> bool {
+    pub(super) fn matches_head(&self, row: Option<&RowImage>) -> bool {
         let head = row.and_then(|row| rmp_serde::from_slice::<HeadRow>(&row.value).ok());
         match head {
             None => self.sequence == 0,
@@ -209,11 +211,11 @@
         proposals: &[Proposal],
         ctx: &OwnerContext<'_>,
     ) {
-        if ctx.guards.has(GuardName::CommitFence) {
+        if ctx.guards.enforces(GuardName::CommitFence) {
             txn.require(PartitionKey::team(self.index).row_key(), self.row_version);
             txn.require(self.head_key(), self.head_version);
         }
-        if !ctx.guards.has(GuardName::ReleaseFence) {
+        if !ctx.guards.enforces(GuardName::ReleaseFence) {
             return;
         }
         let mut rows: Vec<_> = proposals
@@ -262,36 +264,37 @@
     }
 
     fn commit(&mut self, version: RowVersion, ctx: &mut OwnerContext<'_>) {
-        let Some(flight) = self.flight.take() else {
+        let Some(batch_in_flight) = self.batch_in_flight.take() else {
             return;
         };
         let next = self.sequence + 1;
         ctx.tally.assert(
             InvariantKind::ChainUnbroken,
-            flight.sequence == next && version > self.head_version,
+            batch_in_flight.sequence == next && version > self.head_version,
             || {
                 format!(
                     "team partition {}: batch {} after {}",
                     self.index,
-                    flight.sequence,
+                    batch_in_flight.sequence,
                     next - 1
                 )
             },
         );
         self.head_version = version;
-        self.sequence = flight.sequence;
-        self.chain = LedgerBatch::hash_of(&flight.bytes);
-        self.rows.insert(flight.sequence);
-        self.log.push_back((flight.sequence, flight.bytes));
-        if flight.snapshot {
-            self.snapshot_sequence = flight.sequence - 1;
+        self.sequence = batch_in_flight.sequence;
+        self.chain = LedgerBatch::hash_of(&batch_in_flight.bytes);
+        self.rows.insert(batch_in_flight.sequence);
+        self.log
+            .push_back((batch_in_flight.sequence, batch_in_flight.bytes));
+        if batch_in_flight.snapshot {
+            self.snapshot_sequence = batch_in_flight.sequence - 1;
         }
-        for sequence in flight.deleted {
+        for sequence in batch_in_flight.deleted {
             self.rows.remove(&sequence);
         }
         self.confirmed = true;
         ctx.tally.ledger_commits += 1;
-        for proposal in flight.proposals {
+        for proposal in batch_in_flight.proposals {
             ctx.tally.ledger_events += 1;
             self.commit_one(proposal, ctx);
         }
@@ -315,18 +318,18 @@
         } else if let Some((team, job)) = proposal.event.job() {
             self.index_job(team, job, ctx.now);
             if matches!(proposal.event, LedgerEvent::GangCommitted { .. }) {
-                self.hasten_job(team, job, ctx.now, |_| true);
+                self.make_job_due(team, job, ctx.now, |_| true);
             }
         }
         for effect in proposal.effects {
-            ctx.act(effect);
+            ctx.push_action(effect);
         }
     }
 
     /// Takes a proposal out of what is pending.
     fn settle(&mut self, proposal: &Proposal) {
         if let Some(task) = proposal.task() {
-            self.busy.remove(&task);
+            self.uncommitted_tasks.remove(&task);
         }
         if let Some((team, size, _)) = &proposal.usage {
             if let Some(pending) = self.pending_usage.get_mut(team) {
@@ -337,7 +340,7 @@
 
     /// Drops what rests on a worker partition that has changed hands, and keeps the rest.
     fn drop_conflicting(&mut self, keys: &[String], ctx: &mut OwnerContext<'_>) {
-        let Some(flight) = self.flight.take() else {
+        let Some(batch_in_flight) = self.batch_in_flight.take() else {
             return;
         };
         let conflicts = |proposal: &Proposal| {
@@ -346,7 +349,7 @@
             })
         };
         let (dropped, mut kept): (Vec<_>, Vec<_>) =
-            flight.proposals.into_iter().partition(conflicts);
+            batch_in_flight.proposals.into_iter().partition(conflicts);
         for proposal in &dropped {
             ctx.tally.retry(RetryReason::StoreConflict);
             self.settle(proposal);
@@ -356,7 +359,7 @@
     }
 }
 
-impl Flight {
+impl InFlightBatch {
     pub(super) fn proposals(&self) -> impl Iterator<Item = &Proposal> {
         self.proposals.iter()
     }
--- a/crates/bankvalve_cell/src/owner/team/gangs.rs
+++ b/crates/bankvalve_cell/src/owner/team/gangs.rs
@@ -13,7 +13,7 @@
 use crate::ledger::{JobPhase, JobState, LedgerEvent};
 use crate::link::TaskId;
 use crate::owner::{GuardName, OwnerContext};
-use crate::placement::{PartitionChoice, PlaceWish};
+use crate::placement::{PartitionChoice, PlacementRequirements};
 use crate::refusal::{RefusalReason, RetryReason};
 
 /// Wait after which a gang queues for room instead of waiting for it to be free.
@@ -42,14 +42,14 @@
             .waits
             .get(first)
             .is_some_and(|wait| wait.until > ctx.now);
-        if !whole || waits || tasks.iter().any(|id| self.busy.contains(id)) {
+        if !whole || waits || tasks.iter().any(|id| self.uncommitted_tasks.contains(id)) {
             return 0;
         }
         match self.choose_for_gang(&tasks, ready, view, ctx) {
             Ok(()) => tasks.len(),
             Err(why) => {
                 let first = first.clone();
-                self.note_wait(&first, why, Duration::ZERO, ctx);
+                self.record_wait(&first, why, Duration::ZERO, ctx);
                 0
             }
         }
@@ -71,30 +71,30 @@
         let urgent = job.spec.urgent;
         let name = (ready.team.clone(), ready.job.clone());
         let since = *self.gang_since.entry(name).or_insert(ctx.now);
-        let wish = PlaceWish {
+        let requirements = PlacementRequirements {
             need,
             rules: &rules,
             urgent,
             service: false,
             spread: &spread,
             may_queue: ctx.now > since + QUEUE_AFTER,
-            except: None,
-            together: tasks.len() as u32,
+            excluded: None,
+            gang_size: tasks.len() as u32,
         };
-        let mut trial = view.board.clone();
+        let mut trial = view.digest_cache.clone();
         let mut choices: Vec<PartitionChoice> = Vec::new();
         for _ in tasks {
-            let again = choices.last().filter(|last| trial.has_room(last, need));
+            let again = choices.last().filter(|last| trial.has_capacity(last, need));
             let choice = match again {
                 Some(choice) => choice.clone(),
                 None => trial
-                    .choose(&wish, &self.policy, &mut self.rng)
+                    .choose(&requirements, &self.policy, &mut self.rng)
                     .ok_or(RefusalReason::NoRoom)?,
             };
             trial.deduct(&choice, need);
             choices.push(choice);
         }
-        *view.board = trial;
+        *view.digest_cache = trial;
         for (id, choice) in tasks.iter().zip(&choices) {
             self.propose_intent(id, choice, need, quota, ctx);
         }
@@ -102,38 +102,32 @@
     }
 
     /// Looks after gangs, services and cancelled jobs that are active.
-    pub(super) fn attend_jobs(&mut self, ctx: &mut OwnerContext<'_>) {
-        let names: Vec<(TeamName, JobId)> = self.attention.iter().cloned().collect();
+    pub(super) fn check_active_jobs(&mut self, ctx: &mut OwnerContext<'_>) {
+        let names: Vec<(TeamName, JobId)> = self.jobs_to_check.iter().cloned().collect();
         for (team, job) in names {
             let Some(state) = self.ledger.job(&team, &job) else {
-                self.attention.remove(&(team, job));
+                self.jobs_to_check.remove(&(team, job));
                 continue;
             };
             if state.phase() != JobPhase::Active {
                 self.gang_since.remove(&(team.clone(), job.clone()));
-                self.gang_turns.remove(&(team.clone(), job.clone()));
-                self.attention.remove(&(team, job));
+                self.gang_reserving_in.remove(&(team.clone(), job.clone()));
+                self.jobs_to_check.remove(&(team, job));
                 continue;
             }
             let active = active_tasks(state);
             if state.cancelled || state.is_broken_gang() {
                 self.withdraw_all(&active);
             } else if state.spec.is_gang() {
-                self.attend_gang(&team, &job, &active, ctx);
+                self.check_gang(&team, &job, &active, ctx);
             } else {
-                self.attend_service(&team, &job, &active);
+                self.check_service(&team, &job, &active);
             }
         }
     }
 
     /// Commits a gang once all of it holds room, and gives up when that takes too long.
-    fn attend_gang(
-        &mut self,
-        team: &str,
-        job: &str,
-        active: &[TaskId],
-        ctx: &mut OwnerContext<'_>,
-    ) {
+    fn check_gang(&mut self, team: &str, job: &str, active: &[TaskId], ctx: &mut OwnerContext<'_>) {
         let state = self.ledger.job(team, job).expect("active");
         if active.is_empty() || state.gang_committed {
             return;
@@ -142,19 +136,19 @@
             let task = &state.tasks[id.task as usize];
             matches!(task.phase, crate::ledger::TaskPhase::Running { .. })
         };
-        if active.iter().any(running) && ctx.guards.has(GuardName::GangCommit) {
+        if active.iter().any(running) && ctx.guards.enforces(GuardName::GangCommit) {
             return;
         }
-        let watches = || active.iter().filter_map(|id| self.watches.get(id));
-        if watches().any(|watch| watch.withdrawing) {
+        let tracked_attempts = || active.iter().filter_map(|id| self.tracked_attempts.get(id));
+        if tracked_attempts().any(|tracked| tracked.withdrawing) {
             return;
         }
-        let lacking = watches().filter(|watch| !watch.held);
-        let turn = lacking.map(|watch| watch.partition).min();
+        let lacking = tracked_attempts().filter(|tracked| !tracked.held);
+        let turn = lacking.map(|tracked| tracked.partition).min();
         let name = (team.to_owned(), job.to_owned());
         // Gangs that take partitions in the same order cannot each hold what
         // the other waits for.
-        self.gang_turns
+        self.gang_reserving_in
             .insert(name, turn.unwrap_or(PartitionIndex::MAX));
         if turn.is_none() && !self.is_committing(team, job) {
             let event = LedgerEvent::GangCommitted {
@@ -165,15 +159,19 @@
             self.propose(Proposal::of(event));
             return;
         }
-        let watches = active.iter().filter_map(|id| self.watches.get(id));
-        let since = watches.map(|watch| watch.since).min().unwrap_or(ctx.now);
-        if ctx.now > since + ctx.timings.gang_hold && !self.is_committing(team, job) {
+        let tracked_attempts = active.iter().filter_map(|id| self.tracked_attempts.get(id));
+        let since = tracked_attempts
+            .map(|tracked| tracked.since)
+            .min()
+            .unwrap_or(ctx.now);
+        if ctx.now > since + ctx.timings.gang_reservation_timeout && !self.is_committing(team, job)
+        {
             ctx.tally.retry(RetryReason::GangHoldLapsed);
             self.withdraw_all(active);
             let backoff = self.rng.random_range(LEAST_BACKOFF_MS..MOST_BACKOFF_MS);
             let wait = Duration::from_millis(backoff);
             for id in active {
-                self.note_wait(id, RefusalReason::NoRoom, wait, ctx);
+                self.record_wait(id, RefusalReason::NoRoom, wait, ctx);
             }
         }
     }
@@ -183,12 +181,15 @@
             matches!(&proposal.event, LedgerEvent::GangCommitted { team: t, job: j, .. }
                 if t == team && j == job)
         };
-        let in_flight = self.flight.iter().flat_map(|flight| flight.proposals());
+        let in_flight = self
+            .batch_in_flight
+            .iter()
+            .flat_map(|batch_in_flight| batch_in_flight.proposals());
         in_flight.chain(&self.pending).any(is)
     }
 
     /// Moves one task of a service off a worker that is leaving, if enough others are up.
-    fn attend_service(&mut self, team: &str, job: &str, active: &[TaskId]) {
+    fn check_service(&mut self, team: &str, job: &str, active: &[TaskId]) {
         let state = self.ledger.job(team, job).expect("active");
         let JobKind::Service { min_available, .. } = state.spec.kind else {
             return;
@@ -198,7 +199,11 @@
             .filter(|id| {
                 let task = &state.tasks[id.task as usize];
                 let running = matches!(task.phase, crate::ledger::TaskPhase::Running { .. });
-                let stays = |id| self.watches.get(id).is_some_and(|watch| !watch.withdrawing);
+                let stays = |id| {
+                    self.tracked_attempts
+                        .get(id)
+                        .is_some_and(|tracked| !tracked.withdrawing)
+                };
                 running && stays(*id)
             })
             .count() as u32;
@@ -206,8 +211,8 @@
             return;
         }
         let leaving = active.iter().find(|id| {
-            let watch = self.watches.get(id);
-            watch.is_some_and(|watch| watch.leaving && !watch.withdrawing)
+            let tracked = self.tracked_attempts.get(id);
+            tracked.is_some_and(|tracked| tracked.leaving && !tracked.withdrawing)
         });
         if let Some(id) = leaving.cloned() {
             self.withdraw_all(&[id]);
--- a/crates/bankvalve_cell/src/owner/team/mod.rs
+++ b/crates/bankvalve_cell/src/owner/team/mod.rs
@@ -1,12 +1,12 @@
 //! Owner of a team partition: the only one that decides on its teams' jobs.
 
-mod attempt_book;
+mod attempt_messages;
+mod attempt_tracker;
 mod commands;
 mod commit;
 mod gangs;
 mod scheduling;
 mod team_partition;
-mod watching;
 
 pub use commit::FlushOutcome;
 pub use team_partition::{TeamPartition, TeamView};
--- a/crates/bankvalve_cell/src/owner/team/scheduling.rs
+++ b/crates/bankvalve_cell/src/owner/team/scheduling.rs
@@ -11,7 +11,7 @@
 use crate::link::TaskId;
 use crate::machine::TaskSize;
 use crate::owner::{GuardName, OwnerContext};
-use crate::placement::{PartitionChoice, PlaceWish};
+use crate::placement::{PartitionChoice, PlacementRequirements};
 use crate::refusal::RefusalReason;
 
 /// Tasks that are assigned in one step at most.
@@ -29,20 +29,20 @@
         if !self.confirmed {
             return;
         }
-        if view.store_answers {
+        if view.store_available {
             self.assign_waiting(view, ctx);
         } else {
             self.refuse_unsent_jobs(ctx);
         }
-        self.attend_jobs(ctx);
-        self.say_what_is_due(view, ctx);
+        self.check_active_jobs(ctx);
+        self.send_due_messages(view, ctx);
     }
 
     /// Assigns waiting tasks: urgent jobs first, then by the team's share of its quota in use.
     fn assign_waiting(&mut self, view: &mut TeamView<'_>, ctx: &mut OwnerContext<'_>) {
         let mut decided = 0;
         let mut missed = 0;
-        for ready in self.jobs_in_turn(ctx) {
+        for ready in self.jobs_in_order(ctx) {
             let Some(job) = self.ledger.job(&ready.team, &ready.job) else {
                 continue;
             };
@@ -60,14 +60,14 @@
         }
     }
 
-    fn jobs_in_turn(&self, ctx: &OwnerContext<'_>) -> Vec<ReadyJob> {
+    fn jobs_in_order(&self, ctx: &OwnerContext<'_>) -> Vec<ReadyJob> {
         let mut jobs: Vec<(u64, ReadyJob)> = self
             .ready
             .keys()
             .map(|job| (self.share_in_use(&job.team, ctx), job.clone()))
             .collect();
         jobs.sort_by(|(a_share, a), (b_share, b)| {
-            (a.patient, a_share, a.order).cmp(&(b.patient, b_share, b.order))
+            (a.not_urgent, a_share, a.order).cmp(&(b.not_urgent, b_share, b.order))
         });
         jobs.into_iter().map(|(_, job)| job).collect()
     }
@@ -98,13 +98,13 @@
                 job: ready.job.clone(),
                 task,
             };
-            if self.busy.contains(&id) || self.must_wait(&id, ctx) {
+            if self.uncommitted_tasks.contains(&id) || self.must_wait(&id, ctx) {
                 continue;
             }
             match self.assign_one(&id, view, ctx) {
                 Ok(()) => placed += 1,
                 Err(why) => {
-                    self.note_wait(&id, why, Duration::ZERO, ctx);
+                    self.record_wait(&id, why, Duration::ZERO, ctx);
                     break;
                 }
             }
@@ -123,21 +123,21 @@
         let quota = self.quota_left(&id.team, need, ctx)?;
         let spread = spread_of(job);
         let rules = rules_of(job, ctx);
-        let wish = PlaceWish {
+        let requirements = PlacementRequirements {
             need,
             rules: &rules,
             urgent: job.spec.urgent,
             service: job.spec.service().is_some(),
             spread: &spread,
             may_queue: true,
-            except: None,
-            together: 1,
+            excluded: None,
+            gang_size: 1,
         };
         let choice = view
-            .board
-            .choose(&wish, &self.policy, &mut self.rng)
+            .digest_cache
+            .choose(&requirements, &self.policy, &mut self.rng)
             .ok_or(RefusalReason::NoRoom)?;
-        view.board.deduct(&choice, need);
+        view.digest_cache.deduct(&choice, need);
         self.propose_intent(id, &choice, need, quota, ctx);
         Ok(())
     }
@@ -152,7 +152,7 @@
         let contract = ctx.bundle.teams.get(team);
         let quota = contract.ok_or(RefusalReason::UnknownTeam)?.quota;
         let mut used = self.ledger.usage_of(team);
-        if ctx.guards.has(GuardName::QuotaPending) {
+        if ctx.guards.enforces(GuardName::QuotaPending) {
             let pending = self.pending_usage.get(team).copied();
             used = used.plus(pending.unwrap_or_default());
         }
@@ -185,8 +185,8 @@
         let mut proposal = Proposal::of(event);
         proposal.usage = Some((id.team.clone(), need, quota));
         self.propose(proposal);
-        if !ctx.guards.has(GuardName::IntentFirst) {
-            self.say_before_commit(id, attempt, choice, ctx);
+        if !ctx.guards.enforces(GuardName::IntentFirst) {
+            self.send_before_commit(id, attempt, choice, ctx);
         }
     }
 
@@ -201,7 +201,7 @@
     }
 
     /// Notes why a task waits, and for how long it is left alone.
-    pub(super) fn note_wait(
+    pub(super) fn record_wait(
         &mut self,
         id: &TaskId,
         why: RefusalReason,
@@ -219,7 +219,7 @@
     }
 
     /// Notes that an attempt came back without having run, and waits longer each time.
-    pub(super) fn note_come_back(
+    pub(super) fn record_returned(
         &mut self,
         id: &TaskId,
         why: RefusalReason,
--- a/crates/bankvalve_cell/src/owner/team/team_partition.rs
+++ b/crates/bankvalve_cell/src/owner/team/team_partition.rs
@@ -5,8 +5,8 @@
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
 
-use super::attempt_book::{AttemptBook, AttemptWatch};
-use super::commit::{Flight, Proposal};
+use super::attempt_tracker::{AttemptTracker, TrackedAttempt};
+use super::commit::{InFlightBatch, Proposal};
 use crate::ids::{
     CellTime, Epoch, JobId, PartitionIndex, RowVersion, TaskIndex, TeamName, UnixMillis,
 };
@@ -16,19 +16,19 @@
 use crate::link::{RowImage, TaskId};
 use crate::machine::{ListedWorker, TaskSize};
 use crate::owner::OwnerContext;
-use crate::placement::{PlacePolicy, RoomBoard};
+use crate::placement::{DigestCache, PlacePolicy};
 use crate::refusal::{RefusalReason, RetryReason};
 
 /// What a team partition's owner looks things up in.
 pub struct TeamView<'a> {
     /// Room of the worker partitions.
-    pub board: &'a mut RoomBoard,
+    pub digest_cache: &'a mut DigestCache,
     /// Epochs and row versions of the worker partitions, as last read.
     pub worker_rows: &'a BTreeMap<PartitionIndex, (Epoch, RowVersion)>,
     /// The platform's instance list.
     pub listed: &'a [ListedWorker],
     /// Whether the store has answered lately.
-    pub store_answers: bool,
+    pub store_available: bool,
 }
 
 /// Why a task waits, and until when it is not looked at.
@@ -42,7 +42,7 @@
 /// A job that has tasks to assign, in the order in which jobs are looked at.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct ReadyJob {
-    pub(super) patient: bool,
+    pub(super) not_urgent: bool,
     pub(super) order: u64,
     pub(super) team: TeamName,
     pub(super) job: JobId,
@@ -72,16 +72,16 @@
     pub(super) archiving: Option<u64>,
     pub(super) archive_due: CellTime,
     pub(super) pending: Vec<Proposal>,
-    pub(super) flight: Option<Flight>,
-    pub(super) busy: BTreeSet<TaskId>,
+    pub(super) batch_in_flight: Option<InFlightBatch>,
+    pub(super) uncommitted_tasks: BTreeSet<TaskId>,
     pub(super) pending_usage: BTreeMap<TeamName, TaskSize>,
-    pub(super) watches: AttemptBook,
+    pub(super) tracked_attempts: AttemptTracker,
     pub(super) waits: BTreeMap<TaskId, TaskWait>,
     pub(super) gang_since: BTreeMap<(TeamName, JobId), CellTime>,
     /// The first worker partition in which a gang does not hold all its room yet.
-    pub(super) gang_turns: BTreeMap<(TeamName, JobId), PartitionIndex>,
+    pub(super) gang_reserving_in: BTreeMap<(TeamName, JobId), PartitionIndex>,
     pub(super) ready: BTreeMap<ReadyJob, BTreeSet<TaskIndex>>,
-    pub(super) attention: BTreeSet<(TeamName, JobId)>,
+    pub(super) jobs_to_check: BTreeSet<(TeamName, JobId)>,
 }
 
 impl TeamPartition {
@@ -113,15 +113,15 @@
             archiving: None,
             archive_due: now,
             pending: Vec::new(),
-            flight: None,
-            busy: BTreeSet::new(),
+            batch_in_flight: None,
+            uncommitted_tasks: BTreeSet::new(),
             pending_usage: BTreeMap::new(),
-            watches: AttemptBook::default(),
+            tracked_attempts: AttemptTracker::default(),
             waits: BTreeMap::new(),
             gang_since: BTreeMap::new(),
-            gang_turns: BTreeMap::new(),
+            gang_reserving_in: BTreeMap::new(),
             ready: BTreeMap::new(),
-            attention: BTreeSet::new(),
+            jobs_to_check: BTreeSet::new(),
         }
     }
 
@@ -146,8 +146,8 @@
     }
 
     /// Tells whether nothing waits to be committed.
-    pub fn is_settled(&self) -> bool {
-        self.pending.is_empty() && self.flight.is_none()
+    pub fn is_flushed(&self) -> bool {
+        self.pending.is_empty() && self.batch_in_flight.is_none()
     }
 
     /// Tasks that wait to be assigned.
@@ -171,8 +171,8 @@
             state.phase,
             state.attempt,
             job.cancelled,
-            self.busy.contains(id),
-            self.watches.get(id),
+            self.uncommitted_tasks.contains(id),
+            self.tracked_attempts.get(id),
             self.waits.get(id)
         ))
     }
@@ -202,7 +202,7 @@
         for (batch, bytes) in read_batches(logs) {
             self.load_batch(&batch, bytes);
         }
-        if !self.is_headed_by(named("head")) {
+        if !self.matches_head(named("head")) {
             self.forget_rows();
             ctx.tally.retry(RetryReason::StoreConflict);
             return false;
@@ -224,7 +224,7 @@
             return;
         };
         let ready = ReadyJob {
-            patient: !job.spec.urgent,
+            not_urgent: !job.spec.urgent,
             order: job.order,
             team: id.team.clone(),
             job: id.job.clone(),
@@ -233,7 +233,7 @@
         let waits = state.phase == crate::ledger::TaskPhase::Waiting && !job.cancelled;
         let placed = state.placed_in();
         let attempt = state.attempt;
-        let needs_attention = job.cancelled || job.spec.is_gang() || job.spec.service().is_some();
+        let needs_check = job.cancelled || job.spec.is_gang() || job.spec.service().is_some();
         let tasks = self.ready.entry(ready.clone()).or_default();
         if waits {
             tasks.insert(id.task);
@@ -244,11 +244,11 @@
             self.ready.remove(&ready);
         }
         match placed {
-            Some((partition, _)) => self.watch(id, attempt, partition, now),
-            None => self.watches.remove(id),
+            Some((partition, _)) => self.track(id, attempt, partition, now),
+            None => self.tracked_attempts.remove(id),
         }
-        if needs_attention {
-            self.attention.insert((id.team.clone(), id.job.clone()));
+        if needs_check {
+            self.jobs_to_check.insert((id.team.clone(), id.job.clone()));
         }
     }
 
@@ -259,11 +259,11 @@
         }
     }
 
-    fn watch(&mut self, id: &TaskId, attempt: u32, partition: PartitionIndex, now: CellTime) {
-        let known = self.watches.get(id).map(|watch| watch.attempt);
+    fn track(&mut self, id: &TaskId, attempt: u32, partition: PartitionIndex, now: CellTime) {
+        let known = self.tracked_attempts.get(id).map(|tracked| tracked.attempt);
         if known != Some(attempt) {
-            let watch = AttemptWatch::new(attempt, partition, now);
-            self.watches.insert(id, watch);
+            let tracked = TrackedAttempt::new(attempt, partition, now);
+            self.tracked_attempts.insert(id, tracked);
         }
     }
 
--- a/crates/bankvalve_cell/src/owner/worker/digest.rs
+++ b/crates/bankvalve_cell/src/owner/worker/digest.rs
@@ -3,12 +3,12 @@
 use std::collections::BTreeMap;
 
 use super::placement_entry::PlacementEntry;
-use super::worker_seat::WorkerSeat;
+use super::worker_state::WorkerState;
 use super::WorkerPartition;
 use crate::ids::{DomainName, InstanceName};
-use crate::instance::OwnWorker;
+use crate::instance::OwnedWorker;
 use crate::link::{
-    PartitionDigest, PartitionPoints, PeerMessage, RoomGroup, ServicePoint, WorkerView,
+    CapacityGroup, PartitionDigest, PartitionEndpoints, PeerMessage, ServiceEndpoint, WorkerView,
 };
 use crate::machine::TaskSize;
 use crate::owner::OwnerContext;
@@ -23,28 +23,28 @@
     ///
     /// What has not changed is told again only now and then, for those who
     /// missed it.
-    pub fn due_news(&mut self, ctx: &OwnerContext<'_>) -> Vec<PeerMessage> {
+    pub fn due_updates(&mut self, ctx: &OwnerContext<'_>) -> Vec<PeerMessage> {
         let mut news = Vec::new();
         if ctx.now < self.digest_due || !self.has_roster() {
             return news;
         }
         self.digest_due = ctx.now + ctx.timings.digest;
-        let repeat = ctx.now >= self.news_repeat;
+        let repeat = ctx.now >= self.next_full_update;
         if repeat {
-            self.news_repeat = ctx.now + ctx.timings.digest * REPEAT_EVERY;
+            self.next_full_update = ctx.now + ctx.timings.digest * REPEAT_EVERY;
         }
         self.digest_sequence += 1;
         let digest = self.digest();
-        let told = self.told_groups == digest.groups && self.told_queued == digest.queued;
+        let told = self.sent_groups == digest.groups && self.sent_queued == digest.queued;
         if repeat || !told {
-            self.told_groups = digest.groups.clone();
-            self.told_queued = digest.queued;
+            self.sent_groups = digest.groups.clone();
+            self.sent_queued = digest.queued;
             news.push(PeerMessage::Digest(digest));
         }
-        let points = self.service_points();
-        if repeat || points != self.told_points {
-            self.told_points = points.clone();
-            news.push(PeerMessage::Points(PartitionPoints {
+        let points = self.service_endpoints();
+        if repeat || points != self.sent_points {
+            self.sent_points = points.clone();
+            news.push(PeerMessage::Points(PartitionEndpoints {
                 partition: self.index,
                 epoch: self.epoch,
                 sequence: self.digest_sequence,
@@ -63,56 +63,64 @@
             sequence: self.digest_sequence,
             region: self.region.clone(),
             queued: self.queue_len() as u32,
-            groups: self.room_groups(),
+            groups: self.capacity_groups(),
         }
     }
 
     /// How the partition's workers stand.
     pub fn worker_views(&self, owner: &InstanceName) -> Vec<WorkerView> {
-        let view = |seat: &WorkerSeat| WorkerView {
-            detail: seat.detail.clone(),
+        let view = |worker_state: &WorkerState| WorkerView {
+            detail: worker_state.detail.clone(),
             partition: self.index,
             owner: owner.clone(),
-            state: seat.state_name().into(),
-            reserved: seat.reserved,
-            tasks: seat.tasks,
+            state: worker_state.state_name().into(),
+            reserved: worker_state.reserved,
+            tasks: worker_state.tasks,
         };
-        self.seats.values().map(view).collect()
+        self.worker_states.values().map(view).collect()
     }
 
     /// Workers that requests may be sent to.
-    pub fn serving_workers(&self) -> Vec<OwnWorker> {
-        let serving = |seat: &&WorkerSeat| seat.fenced && !seat.given_up;
-        self.seats
+    pub fn serving_workers(&self) -> Vec<OwnedWorker> {
+        let serving =
+            |worker_state: &&WorkerState| worker_state.fenced && !worker_state.declared_lost;
+        self.worker_states
             .values()
             .filter(serving)
-            .map(|seat| OwnWorker {
-                name: seat.detail.name.clone(),
-                address: seat.detail.address.clone(),
+            .map(|worker_state| OwnedWorker {
+                name: worker_state.detail.name.clone(),
+                address: worker_state.detail.address.clone(),
                 partition: self.index,
                 epoch: self.epoch,
-                slots: seat.detail.slots,
-                connections: seat.detail.connections,
+                slots: worker_state.detail.slots,
+                connections: worker_state.detail.connections,
             })
             .collect()
     }
 
     /// Room reserved and room in all, summed over workers that answer.
-    pub fn room_in_use(&self) -> (TaskSize, TaskSize) {
+    pub fn capacity_in_use(&self) -> (TaskSize, TaskSize) {
         let zero = (TaskSize::default(), TaskSize::default());
-        self.seats
+        self.worker_states
             .values()
-            .filter(|seat| seat.fenced && !seat.given_up)
-            .fold(zero, |(used, all), seat| {
-                (used.plus(seat.reserved), all.plus(seat.detail.size))
+            .filter(|worker_state| worker_state.fenced && !worker_state.declared_lost)
+            .fold(zero, |(used, all), worker_state| {
+                (
+                    used.plus(worker_state.reserved),
+                    all.plus(worker_state.detail.size),
+                )
             })
     }
 
-    fn room_groups(&self) -> Vec<RoomGroup> {
-        let mut groups = BTreeMap::<DomainName, Vec<&WorkerSeat>>::new();
-        for seat in self.seats.values().filter(|seat| seat.takes_tasks()) {
-            let domain = seat.detail.domain.clone();
-            groups.entry(domain).or_default().push(seat);
+    fn capacity_groups(&self) -> Vec<CapacityGroup> {
+        let mut groups = BTreeMap::<DomainName, Vec<&WorkerState>>::new();
+        for worker_state in self
+            .worker_states
+            .values()
+            .filter(|worker_state| worker_state.accepts_tasks())
+        {
+            let domain = worker_state.detail.domain.clone();
+            groups.entry(domain).or_default().push(worker_state);
         }
         let mut waiting = self
             .entries
@@ -122,8 +130,8 @@
         let preemptible = self.preemptible_by_worker();
         groups
             .into_iter()
-            .map(|(domain, seats)| {
-                let group = room_group(domain, &seats, waiting, &preemptible);
+            .map(|(domain, worker_states)| {
+                let group = capacity_group(domain, &worker_states, waiting, &preemptible);
                 waiting = TaskSize::default();
                 group
             })
@@ -141,49 +149,60 @@
         rooms
     }
 
-    fn service_points(&self) -> Vec<ServicePoint> {
+    fn service_endpoints(&self) -> Vec<ServiceEndpoint> {
         let point = |entry: &PlacementEntry| {
             let service = entry.label.service.clone()?;
-            let seat = self.seats.get(entry.worker.as_ref()?)?;
+            let worker_state = self.worker_states.get(entry.worker.as_ref()?)?;
             let serves = entry.phase == super::placement_entry::PlacementPhase::Running;
-            if !serves || seat.is_leaving() || seat.given_up {
+            if !serves || worker_state.is_leaving() || worker_state.declared_lost {
                 return None;
             }
-            Some(ServicePoint {
+            Some(ServiceEndpoint {
                 service,
                 key: entry.key.clone(),
-                worker: seat.detail.name.clone(),
-                domain: seat.detail.domain.clone(),
+                worker: worker_state.detail.name.clone(),
+                domain: worker_state.detail.domain.clone(),
             })
         };
         self.entries.values().filter_map(point).collect()
     }
 }
 
-fn room_group(
+fn capacity_group(
     domain: DomainName,
-    seats: &[&WorkerSeat],
+    worker_states: &[&WorkerState],
     waiting: TaskSize,
     preemptible: &BTreeMap<&str, TaskSize>,
-) -> RoomGroup {
-    let mut rooms: Vec<TaskSize> = seats.iter().map(|seat| seat.free()).collect();
+) -> CapacityGroup {
+    let mut rooms: Vec<TaskSize> = worker_states
+        .iter()
+        .map(|worker_state| worker_state.free())
+        .collect();
     rooms.sort_by(|a, b| b.cmp(a));
     let free = rooms
         .iter()
         .fold(TaskSize::default(), |sum, room| sum.plus(*room));
-    let mut classes: Vec<TaskSize> = seats.iter().map(|seat| seat.detail.size).collect();
+    let mut classes: Vec<TaskSize> = worker_states
+        .iter()
+        .map(|worker_state| worker_state.detail.size)
+        .collect();
     classes.sort();
     classes.dedup();
-    let taken = |seat: &&WorkerSeat| preemptible.get(seat.detail.name.as_str()).copied();
-    let mut with_preemption: Vec<TaskSize> = seats
+    let taken =
+        |worker_state: &&WorkerState| preemptible.get(worker_state.detail.name.as_str()).copied();
+    let mut with_preemption: Vec<TaskSize> = worker_states
         .iter()
-        .map(|seat| seat.free().plus(taken(seat).unwrap_or_default()))
+        .map(|worker_state| {
+            worker_state
+                .free()
+                .plus(taken(worker_state).unwrap_or_default())
+        })
         .collect();
     with_preemption.sort_by(|a, b| b.cmp(a));
     with_preemption.truncate(LARGEST_COUNT);
-    RoomGroup {
+    CapacityGroup {
         domain,
-        workers: seats.len() as u32,
+        workers: worker_states.len() as u32,
         free: free.minus(waiting),
         largest: rooms.into_iter().take(LARGEST_COUNT).collect(),
         preemptible: with_preemption,
--- a/crates/bankvalve_cell/src/owner/worker/exchange.rs
+++ b/crates/bankvalve_cell/src/owner/worker/exchange.rs
@@ -1,7 +1,7 @@
 //! Exchanges with workers: fence, ask, renew, command, and what the reports tell.
 
 use super::placement_entry::{PlacementEntry, PlacementPhase};
-use super::worker_seat::OpenExchange;
+use super::worker_state::OpenExchange;
 use super::WorkerPartition;
 use crate::contract::WorkerLease;
 use crate::ids::WorkerName;
@@ -23,9 +23,11 @@
     pub(super) fn run_exchanges(&mut self, ctx: &mut OwnerContext<'_>) {
         self.expire_exchanges(ctx);
         let due: Vec<WorkerName> = self
-            .seats
+            .worker_states
             .iter()
-            .filter(|(_, seat)| seat.open.is_none() && seat.next_exchange <= ctx.now)
+            .filter(|(_, worker_state)| {
+                worker_state.open.is_none() && worker_state.next_exchange <= ctx.now
+            })
             .map(|(name, _)| name.clone())
             .collect();
         for name in due {
@@ -34,57 +36,62 @@
     }
 
     /// Takes a worker's answer, or the lack of one.
-    pub fn take_answer(
+    pub fn handle_answer(
         &mut self,
         worker: &str,
         token: FenceToken,
         answer: Result<Result<WorkerReport, WorkerRefusal>, LinkFailure>,
         ctx: &mut OwnerContext<'_>,
     ) {
-        let Some(seat) = self.seats.get_mut(worker) else {
+        let Some(worker_state) = self.worker_states.get_mut(worker) else {
             return;
         };
-        if seat.open.is_none_or(|open| open.token != token) {
+        if worker_state.open.is_none_or(|open| open.token != token) {
             ctx.tally.worker_answers_dropped += 1;
             return;
         }
-        seat.open = None;
+        worker_state.open = None;
         match answer {
-            Ok(Ok(report)) => self.take_report(worker, &report, ctx),
-            Ok(Err(refusal)) => self.take_refusal(worker, refusal, ctx),
+            Ok(Ok(report)) => self.handle_report(worker, &report, ctx),
+            Ok(Err(refusal)) => self.handle_refusal(worker, refusal, ctx),
             Err(_) => {
                 ctx.tally.retry(RetryReason::WorkerAnswerLost);
-                seat.next_exchange = ctx.now + ctx.timings.worker_answer / 4;
+                worker_state.next_exchange = ctx.now + ctx.timings.worker_answer / 4;
             }
         }
     }
 
     fn expire_exchanges(&mut self, ctx: &mut OwnerContext<'_>) {
-        for seat in self.seats.values_mut() {
+        for worker_state in self.worker_states.values_mut() {
             let limit = ctx.timings.worker_answer * 2;
-            if seat.open.is_some_and(|open| ctx.now > open.sent_at + limit) {
+            if worker_state
+                .open
+                .is_some_and(|open| ctx.now > open.sent_at + limit)
+            {
                 ctx.tally.retry(RetryReason::WorkerAnswerLost);
-                seat.open = None;
+                worker_state.open = None;
             }
         }
     }
 
     fn start_exchange(&mut self, worker: &str, ctx: &mut OwnerContext<'_>) {
         let epoch = self.epoch;
-        let seat = self.seats.get_mut(worker).expect("listed");
-        let token = seat.next_token(epoch);
-        let commands_too = seat.fenced && !seat.given_up && seat.can_renew(ctx.now, ctx.timings);
-        let lease = seat.lease.filter(|_| commands_too);
-        seat.open = Some(OpenExchange {
+        let worker_state = self.worker_states.get_mut(worker).expect("listed");
+        let token = worker_state.next_token(epoch);
+        let commands_too = worker_state.fenced
+            && !worker_state.declared_lost
+            && worker_state.can_renew(ctx.now, ctx.timings);
+        let lease = worker_state.lease.filter(|_| commands_too);
+        worker_state.open = Some(OpenExchange {
             token,
             sent_at: ctx.now,
         });
-        seat.next_exchange = ctx.now + ctx.timings.worker_heartbeat;
-        let address = seat.detail.address.clone();
-        let incarnation = seat.incarnation.filter(|_| commands_too);
-        let leaving = seat.is_leaving();
+        worker_state.next_exchange = ctx.now + ctx.timings.worker_heartbeat;
+        let address = worker_state.detail.address.clone();
+        let incarnation = worker_state.incarnation.filter(|_| commands_too);
+        let leaving = worker_state.is_leaving();
         if leaving {
-            self.take_back_unsent(worker, ctx);
+            self.requeue_unsent(worker, ctx);
         }
         let commands = if commands_too {
             self.commands_for(worker, leaving, ctx)
@@ -97,7 +104,7 @@
             lease_until: lease.map(|lease| lease.granted_until(ctx.timings.worker_lease)),
             commands,
         };
-        ctx.act(OwnerAction::Exchange {
+        ctx.push_action(OwnerAction::Exchange {
             partition: self.index,
             worker: worker.to_owned(),
             address,
@@ -106,7 +113,7 @@
     }
 
     /// Puts what was never sent to a worker that now leaves back in line.
-    fn take_back_unsent(&mut self, worker: &str, ctx: &mut OwnerContext<'_>) {
+    fn requeue_unsent(&mut self, worker: &str, ctx: &mut OwnerContext<'_>) {
         let unsent: Vec<TaskId> = self
             .entries
             .iter()
@@ -116,7 +123,7 @@
             .collect();
         for id in unsent {
             self.requeue(&id);
-            self.say(&id, ctx);
+            self.send_status(&id, ctx);
         }
     }
 
@@ -162,59 +169,65 @@
                 _ => {}
             }
         }
-        commands.extend(self.strays.get(worker).into_iter().flatten().cloned());
+        commands.extend(
+            self.unknown_task_commands
+                .get(worker)
+                .into_iter()
+                .flatten()
+                .cloned(),
+        );
         commands
     }
 
-    fn take_refusal(&mut self, worker: &str, refusal: WorkerRefusal, ctx: &mut OwnerContext<'_>) {
+    fn handle_refusal(&mut self, worker: &str, refusal: WorkerRefusal, ctx: &mut OwnerContext<'_>) {
         let epoch = self.epoch;
-        let seat = self.seats.get_mut(worker).expect("known");
+        let worker_state = self.worker_states.get_mut(worker).expect("known");
         match refusal {
             WorkerRefusal::TokenPassed { greatest } if greatest.epoch > epoch => {
                 self.superseded = true;
             }
             WorkerRefusal::TokenPassed { greatest } => {
-                seat.sequence = seat.sequence.max(greatest.sequence);
-                seat.next_exchange = ctx.now;
+                worker_state.sequence = worker_state.sequence.max(greatest.sequence);
+                worker_state.next_exchange = ctx.now;
             }
             WorkerRefusal::OtherIncarnation | WorkerRefusal::LeaseOver => {
                 ctx.tally.retry(RetryReason::WorkerAnswerLost);
-                seat.fenced = false;
-                seat.next_exchange = ctx.now;
+                worker_state.fenced = false;
+                worker_state.next_exchange = ctx.now;
             }
         }
     }
 
-    fn take_report(&mut self, worker: &str, report: &WorkerReport, ctx: &mut OwnerContext<'_>) {
-        let seat = self.seats.get_mut(worker).expect("known");
-        let restarted = seat
+    fn handle_report(&mut self, worker: &str, report: &WorkerReport, ctx: &mut OwnerContext<'_>) {
+        let worker_state = self.worker_states.get_mut(worker).expect("known");
+        let restarted = worker_state
             .incarnation
             .is_some_and(|known| known != report.incarnation);
-        let was_ready = seat.fenced && !seat.given_up;
-        seat.incarnation = Some(report.incarnation);
-        seat.fenced = true;
-        seat.given_up = false;
-        seat.lease = Some(WorkerLease {
+        let was_ready = worker_state.fenced && !worker_state.declared_lost;
+        worker_state.incarnation = Some(report.incarnation);
+        worker_state.fenced = true;
+        worker_state.declared_lost = false;
+        worker_state.lease = Some(WorkerLease {
             reading: report.clock,
             received: ctx.now,
         });
         if restarted {
-            self.lose_tasks_of(worker, ctx);
+            self.release_tasks_of(worker, ctx);
         }
-        self.strays.remove(worker);
+        self.unknown_task_commands.remove(worker);
         for held in &report.held {
-            self.take_held(worker, held, ctx);
+            self.handle_held(worker, held, ctx);
         }
-        self.take_missing(worker, report, ctx);
+        self.handle_missing(worker, report, ctx);
         let busy = self.has_commands(worker);
         if busy || !was_ready {
-            self.hasten(Some(worker), ctx.now);
+            self.make_exchange_due(Some(worker), ctx.now);
         }
         self.place_waiting(ctx);
     }
 
     fn has_commands(&self, worker: &str) -> bool {
-        self.strays.contains_key(worker)
+        self.unknown_task_commands.contains_key(worker)
             || self.entries.values().any(|entry| {
                 entry.worker.as_deref() == Some(worker)
                     && matches!(
@@ -226,7 +239,7 @@
             })
     }
 
-    fn take_held(&mut self, worker: &str, held: &HeldTask, ctx: &mut OwnerContext<'_>) {
+    fn handle_held(&mut self, worker: &str, held: &HeldTask, ctx: &mut OwnerContext<'_>) {
         let id = held.key.id();
         let known = self.entries.get(&id);
         let same = known.is_some_and(|entry| {
@@ -240,14 +253,14 @@
                 ) && entry.key.attempt <= held.key.attempt
             });
             if !replaceable {
-                self.end_stray(worker, held, ctx);
+                self.end_unknown_task(worker, held, ctx);
                 return;
             }
             self.adopt(worker, held, ctx);
         }
         match held.phase {
-            HeldPhase::Running => self.take_running(&id, held, ctx),
-            HeldPhase::Ended(outcome) => self.take_ended(&id, worker, held, outcome, ctx),
+            HeldPhase::Running => self.handle_running(&id, held, ctx),
+            HeldPhase::Ended(outcome) => self.handle_ended(&id, worker, held, outcome, ctx),
         }
     }
 
@@ -267,7 +280,7 @@
     }
 
     /// Ends a held task that is not the one known here.
-    fn end_stray(&mut self, worker: &str, held: &HeldTask, ctx: &mut OwnerContext<'_>) {
+    fn end_unknown_task(&mut self, worker: &str, held: &HeldTask, ctx: &mut OwnerContext<'_>) {
         let running = held.phase == HeldPhase::Running;
         let known = self.entries.get(&held.key.id());
         ctx.tally.assert(InvariantKind::SinglePlace, !running, || {
@@ -281,11 +294,14 @@
         } else {
             WorkerCommand::Forget { key }
         };
-        let commands = self.strays.entry(worker.to_owned()).or_default();
+        let commands = self
+            .unknown_task_commands
+            .entry(worker.to_owned())
+            .or_default();
         commands.push(command);
     }
 
-    fn take_running(&mut self, id: &TaskId, held: &HeldTask, ctx: &mut OwnerContext<'_>) {
+    fn handle_running(&mut self, id: &TaskId, held: &HeldTask, ctx: &mut OwnerContext<'_>) {
         let Some(entry) = self.entries.get_mut(id) else {
             return;
         };
@@ -303,7 +319,7 @@
         match phase {
             PlacementPhase::Starting { .. } => {
                 self.set_phase(id, PlacementPhase::Running);
-                self.say(id, ctx);
+                self.send_status(id, ctx);
             }
             PlacementPhase::Running if overran => {
                 let outcome = TaskOutcome::Overran;
@@ -320,7 +336,7 @@
         }
     }
 
-    fn take_ended(
+    fn handle_ended(
         &mut self,
         id: &TaskId,
         worker: &str,
@@ -344,14 +360,14 @@
             ran_ms: held.ran_ms,
             peak: entry.peak.max(held.usage),
         };
-        if let Some(seat) = self.seats.get_mut(worker) {
-            seat.count_outcome(ctx.now, outcome);
+        if let Some(worker_state) = self.worker_states.get_mut(worker) {
+            worker_state.count_outcome(ctx.now, outcome);
         }
-        self.set_over(id, status, ctx);
+        self.finish_entry(id, status, ctx);
     }
 
     /// Settles entries that the worker does not hold although it answered.
-    fn take_missing(&mut self, worker: &str, report: &WorkerReport, ctx: &mut OwnerContext<'_>) {
+    fn handle_missing(&mut self, worker: &str, report: &WorkerReport, ctx: &mut OwnerContext<'_>) {
         let missing: Vec<TaskId> = self
             .entries
             .values()
@@ -363,7 +379,7 @@
             let entry = &self.entries[&id];
             match entry.phase {
                 PlacementPhase::Running => {
-                    self.set_over(&id, PlacementStatus::Lost, ctx);
+                    self.finish_entry(&id, PlacementStatus::Lost, ctx);
                 }
                 // The report outranks every command that was sent before it,
                 // so a start that is not in it was not taken.
@@ -373,7 +389,7 @@
                     } else {
                         PlacementStatus::NotRun(RefusalReason::WorkerUnreachable)
                     };
-                    self.set_over(&id, status, ctx);
+                    self.finish_entry(&id, status, ctx);
                 }
                 PlacementPhase::Recorded => self.drop_entry(&id),
                 _ => {}
--- a/crates/bankvalve_cell/src/owner/worker/mod.rs
+++ b/crates/bankvalve_cell/src/owner/worker/mod.rs
@@ -3,9 +3,9 @@
 mod digest;
 mod exchange;
 mod orders;
+mod placement;
 mod placement_entry;
-mod placing;
 mod worker_partition;
-mod worker_seat;
+mod worker_state;
 
 pub use worker_partition::WorkerPartition;
--- a/crates/bankvalve_cell/src/owner/worker/orders.rs
+++ b/crates/bankvalve_cell/src/owner/worker/orders.rs
@@ -1,7 +1,7 @@
 //! Orders of the teams' owners: place an attempt, end one, forget one.
 
 use super::placement_entry::{PlacementEntry, PlacementPhase};
-use super::worker_seat::WorkerSeat;
+use super::worker_state::WorkerState;
 use super::WorkerPartition;
 use crate::ids::{Epoch, PartitionIndex, WorkerName};
 use crate::link::{
@@ -85,7 +85,7 @@
         }
         if intent_epoch == self.epoch {
             let status = PlacementStatus::NotRun(RefusalReason::NoRoom);
-            self.note_over(key, team_partition, status, ctx);
+            self.record_finished(key, team_partition, status, ctx);
             return;
         }
         self.answer_for_earlier_epoch(key, team_partition, started_on.as_ref(), ctx);
@@ -105,16 +105,16 @@
         };
         if matches!(status, PlacementStatus::Ended { .. }) {
             entry.phase = PlacementPhase::Recorded;
-            entry.say_at = None;
+            entry.send_at = None;
             let worker = entry.worker.clone();
-            self.hasten(worker.as_deref(), ctx.now);
+            self.make_exchange_due(worker.as_deref(), ctx.now);
         } else {
             self.entries.remove(&id);
         }
     }
 
     /// Says how an attempt that is not kept stands.
-    pub(super) fn say_of(
+    pub(super) fn send_status_of(
         &self,
         key: TaskKey,
         team_partition: PartitionIndex,
@@ -128,7 +128,7 @@
             key,
             status,
         };
-        ctx.tell_team(team_partition, message);
+        ctx.send_to_team_owner(team_partition, message);
     }
 
     pub(super) fn admit_team_epoch(
@@ -159,50 +159,50 @@
             need.gate = order.gate;
         }
         if let PlacementPhase::Held { until } = &mut entry.phase {
-            *until = ctx.now + ctx.timings.hold_lapse;
+            *until = ctx.now + ctx.timings.reservation_timeout;
             if order.gate == PlaceGate::Start {
                 let worker = entry.worker.clone();
                 self.set_phase(id, PlacementPhase::Starting { sent: false });
-                self.hasten(worker.as_deref(), ctx.now);
+                self.make_exchange_due(worker.as_deref(), ctx.now);
             }
         }
-        self.say(id, ctx);
+        self.send_status(id, ctx);
     }
 
     pub(super) fn enqueue(&mut self, order: PlaceOrder, ctx: &mut OwnerContext<'_>) {
-        let limit = QUEUE_BASE + QUEUE_PER_WORKER * self.seats.len();
+        let limit = QUEUE_BASE + QUEUE_PER_WORKER * self.worker_states.len();
         if self.queue_len() >= limit {
             ctx.tally.refuse(RefusalReason::QueueFull);
             let status = PlacementStatus::NotRun(RefusalReason::QueueFull);
             let team_partition = order.label.team_partition;
-            self.note_over(order.key, team_partition, status, ctx);
+            self.record_finished(order.key, team_partition, status, ctx);
             return;
         }
-        self.numbered += 1;
+        self.last_order += 1;
         let id = order.key.id();
-        let entry = PlacementEntry::ordered(order, ctx.now, self.numbered);
+        let entry = PlacementEntry::ordered(order, ctx.now, self.last_order);
         self.entries.insert(id.clone(), entry);
         self.place_waiting(ctx);
         if self.entries.get(&id).is_some_and(PlacementEntry::is_queued) {
-            self.say(&id, ctx);
+            self.send_status(&id, ctx);
         }
     }
 
     /// Keeps and says the end of an attempt that never was in the partition.
-    pub(super) fn note_over(
+    pub(super) fn record_finished(
         &mut self,
         key: TaskKey,
         team_partition: PartitionIndex,
         status: PlacementStatus,
         ctx: &mut OwnerContext<'_>,
     ) {
-        self.numbered += 1;
+        self.last_order += 1;
         let id = key.id();
         let phase = PlacementPhase::Over(status);
         let label = blank_label(team_partition);
-        let entry = PlacementEntry::found(key, label, phase, ctx.now, self.numbered);
+        let entry = PlacementEntry::found(key, label, phase, ctx.now, self.last_order);
         self.entries.insert(id.clone(), entry);
-        self.say(&id, ctx);
+        self.send_status(&id, ctx);
     }
 
     /// Answers for an attempt whose intent was recorded for an earlier owner.
@@ -216,20 +216,21 @@
         started_on: Option<&WorkerName>,
         ctx: &mut OwnerContext<'_>,
     ) {
-        let settled = |seat: &WorkerSeat| seat.fenced || seat.given_up;
+        let settled =
+            |worker_state: &WorkerState| worker_state.fenced || worker_state.declared_lost;
         let known = match started_on {
-            Some(worker) => self.seats.get(worker).is_none_or(settled),
+            Some(worker) => self.worker_states.get(worker).is_none_or(settled),
             None => self
-                .seats
+                .worker_states
                 .values()
-                .filter(|seat| seat.recorded)
+                .filter(|worker_state| worker_state.in_roster)
                 .all(settled),
         };
-        if known || !ctx.guards.has(GuardName::WorkerFence) {
-            self.note_over(key, team_partition, PlacementStatus::Lost, ctx);
+        if known || !ctx.guards.enforces(GuardName::WorkerFence) {
+            self.record_finished(key, team_partition, PlacementStatus::Lost, ctx);
         } else {
             ctx.tally.refuse(RefusalReason::NotFenced);
-            self.say_of(key, team_partition, PlacementStatus::Unfenced, ctx);
+            self.send_status_of(key, team_partition, PlacementStatus::Unfenced, ctx);
         }
     }
 
@@ -249,13 +250,13 @@
             | PlacementPhase::Held { .. }
             | PlacementPhase::Starting { sent: false } => {
                 let status = PlacementStatus::NotRun(RefusalReason::NoRoom);
-                self.set_over(id, status, ctx);
+                self.finish_entry(id, status, ctx);
             }
             PlacementPhase::Starting { sent: true } | PlacementPhase::Running if !only_waiting => {
                 self.set_phase(id, PlacementPhase::Stopping { outcome });
-                self.hasten(worker.as_deref(), ctx.now);
+                self.make_exchange_due(worker.as_deref(), ctx.now);
             }
-            _ => self.say(id, ctx),
+            _ => self.send_status(id, ctx),
         }
     }
 }
--- a/crates/bankvalve_cell/src/owner/worker/placing.rs
+++ b/crates/bankvalve_cell/src/owner/worker/placement.rs
@@ -8,14 +8,14 @@
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 use super::placement_entry::{PlacementEntry, PlacementPhase};
-use super::worker_seat::WorkerSeat;
+use super::worker_state::WorkerState;
 use super::WorkerPartition;
 use crate::contract::PlaceRule;
 use crate::ids::{RackName, TeamName, WorkerName};
 use crate::link::{PlaceGate, TaskId, TaskOutcome};
 use crate::machine::TaskSize;
 use crate::owner::{GuardName, OwnerContext};
-use crate::placement::{choose_victims, RoomView, VictimCandidate};
+use crate::placement::{choose_victims, ScoreInput, VictimCandidate};
 use crate::refusal::{RefusalReason, RetryReason};
 use crate::tally::InvariantKind;
 
@@ -41,7 +41,7 @@
         let mut kept_free: Option<WorkerName> = None;
         for id in line {
             if let Some(worker) = self.choose_worker(&id, kept_free.as_deref(), ctx) {
-                self.seat_entry(&id, &worker, ctx);
+                self.assign_worker(&id, &worker, ctx);
                 continue;
             }
             let entry = &self.entries[&id];
@@ -83,7 +83,7 @@
 
     fn usage_by_team(&self) -> BTreeMap<TeamName, TaskSize> {
         let mut usage = BTreeMap::<TeamName, TaskSize>::new();
-        for entry in self.entries.values().filter(|entry| entry.takes_room()) {
+        for entry in self.entries.values().filter(|entry| entry.uses_capacity()) {
             let used = usage.entry(entry.key.team.clone()).or_default();
             *used = used.plus(entry.label.size);
         }
@@ -91,9 +91,11 @@
     }
 
     fn total_size(&self) -> TaskSize {
-        self.seats
+        self.worker_states
             .values()
-            .fold(TaskSize::default(), |sum, seat| sum.plus(seat.detail.size))
+            .fold(TaskSize::default(), |sum, worker_state| {
+                sum.plus(worker_state.detail.size)
+            })
     }
 
     fn choose_worker(
@@ -104,20 +106,20 @@
     ) -> Option<WorkerName> {
         let entry = &self.entries[id];
         let spread = self.spread_of(id);
-        let mut best: Option<(f64, &WorkerSeat)> = None;
-        for seat in self.seats.values() {
-            let fits =
-                !ctx.guards.has(GuardName::OwnerCapacity) || entry.label.size.fits_in(seat.free());
-            let kept = Some(seat.detail.name.as_str()) == kept_free;
-            if kept || !fits || !seat.takes_tasks() || !admitted(entry, seat) {
+        let mut best: Option<(f64, &WorkerState)> = None;
+        for worker_state in self.worker_states.values() {
+            let fits = !ctx.guards.enforces(GuardName::OwnerCapacity)
+                || entry.label.size.fits_in(worker_state.free());
+            let kept = Some(worker_state.detail.name.as_str()) == kept_free;
+            if kept || !fits || !worker_state.accepts_tasks() || !admitted(entry, worker_state) {
                 continue;
             }
-            let score = self.score_of(entry, seat, &spread);
+            let score = self.score_of(entry, worker_state, &spread);
             if best.is_none_or(|(other, _)| score > other) {
-                best = Some((score, seat));
+                best = Some((score, worker_state));
             }
         }
-        best.map(|(_, seat)| seat.detail.name.clone())
+        best.map(|(_, worker_state)| worker_state.detail.name.clone())
     }
 
     fn spread_of(&self, id: &TaskId) -> JobSpread {
@@ -128,12 +130,15 @@
         let same_job = self
             .entries
             .values()
-            .filter(|entry| entry.takes_room())
+            .filter(|entry| entry.uses_capacity())
             .filter(|entry| entry.key.job == id.job && entry.key.team == id.team);
         for entry in same_job {
-            let seat = entry.worker.as_ref().and_then(|name| self.seats.get(name));
-            if let Some(seat) = seat {
-                let detail = &seat.detail;
+            let worker_state = entry
+                .worker
+                .as_ref()
+                .and_then(|name| self.worker_states.get(name));
+            if let Some(worker_state) = worker_state {
+                let detail = &worker_state.detail;
                 *spread.domains.entry(detail.domain.clone()).or_default() += 1;
                 *spread.racks.entry(detail.rack.clone()).or_default() += 1;
             }
@@ -141,8 +146,13 @@
         spread
     }
 
-    fn score_of(&self, entry: &PlacementEntry, seat: &WorkerSeat, spread: &JobSpread) -> f64 {
-        let detail = &seat.detail;
+    fn score_of(
+        &self,
+        entry: &PlacementEntry,
+        worker_state: &WorkerState,
+        spread: &JobSpread,
+    ) -> f64 {
+        let detail = &worker_state.detail;
         let preferred = entry
             .need
             .as_ref()
@@ -150,28 +160,28 @@
             .is_none_or(|domain| *domain == detail.domain);
         let here = spread.domains.get(&detail.domain).copied().unwrap_or(0);
         let service = entry.label.service.is_some();
-        let view = RoomView {
+        let view = ScoreInput {
             total: detail.size,
-            free: seat.free(),
+            free: worker_state.free(),
             need: entry.label.size,
             same_domain: here + u32::from(service && !preferred),
             same_rack: spread.racks.get(&detail.rack).copied().unwrap_or(0),
             service,
-            draw: draw_for(entry, &detail.name),
+            random_unit: draw_for(entry, &detail.name),
         };
         self.policy.score_worker(&view)
     }
 
-    fn seat_entry(&mut self, id: &TaskId, worker: &str, ctx: &mut OwnerContext<'_>) {
+    fn assign_worker(&mut self, id: &TaskId, worker: &str, ctx: &mut OwnerContext<'_>) {
         let entry = self.entries.get_mut(id).expect("waiting");
         entry.worker = Some(worker.to_owned());
         let gate = entry
             .need
             .as_ref()
             .map_or(PlaceGate::Start, |need| need.gate);
-        let held = gate == PlaceGate::Hold && ctx.guards.has(GuardName::GangCommit);
+        let held = gate == PlaceGate::Hold && ctx.guards.enforces(GuardName::GangCommit);
         let phase = if held {
-            let until = ctx.now + ctx.timings.hold_lapse;
+            let until = ctx.now + ctx.timings.reservation_timeout;
             PlacementPhase::Held { until }
         } else {
             ctx.tally.assert(
@@ -184,9 +194,9 @@
         ctx.tally.placed += 1;
         self.set_phase(id, phase);
         if held {
-            self.say(id, ctx);
+            self.send_status(id, ctx);
         } else {
-            self.hasten(Some(worker), ctx.now);
+            self.make_exchange_due(Some(worker), ctx.now);
         }
     }
 
@@ -201,16 +211,16 @@
         }
         let need = entry.label.size;
         let mut best: Option<(f64, WorkerName, Vec<TaskId>)> = None;
-        for seat in self.seats.values() {
-            if !seat.takes_tasks() || !admitted(entry, seat) {
+        for worker_state in self.worker_states.values() {
+            if !worker_state.accepts_tasks() || !admitted(entry, worker_state) {
                 continue;
             }
-            let victims = self.victims_on(&seat.detail.name);
-            let Some((chosen, cost)) = choose_victims(need, seat.free(), victims) else {
+            let victims = self.victims_on(&worker_state.detail.name);
+            let Some((chosen, cost)) = choose_victims(need, worker_state.free(), victims) else {
                 continue;
             };
             if best.as_ref().is_none_or(|(other, _, _)| cost < *other) {
-                best = Some((cost, seat.detail.name.clone(), chosen));
+                best = Some((cost, worker_state.detail.name.clone(), chosen));
             }
         }
         let Some((_, worker, victims)) = best else {
@@ -224,7 +234,7 @@
             ctx.tally.preempted += 1;
             ctx.tally.retry(RetryReason::TaskPreempted);
         }
-        self.hasten(Some(&worker), ctx.now);
+        self.make_exchange_due(Some(&worker), ctx.now);
     }
 
     fn victims_on(&self, worker: &str) -> Vec<VictimCandidate> {
@@ -244,19 +254,24 @@
     fn worker_to_keep_free(&self, id: &TaskId) -> Option<WorkerName> {
         let entry = &self.entries[id];
         let need = entry.label.size;
-        let lacking = |seat: &WorkerSeat| need.minus(seat.free()).share_of(seat.detail.size);
-        self.seats
+        let lacking = |worker_state: &WorkerState| {
+            need.minus(worker_state.free())
+                .share_of(worker_state.detail.size)
+        };
+        self.worker_states
             .values()
-            .filter(|seat| seat.takes_tasks() && admitted(entry, seat))
-            .filter(|seat| need.fits_in(seat.detail.size))
+            .filter(|worker_state| worker_state.accepts_tasks() && admitted(entry, worker_state))
+            .filter(|worker_state| need.fits_in(worker_state.detail.size))
             .min_by(|a, b| lacking(a).total_cmp(&lacking(b)))
-            .map(|seat| seat.detail.name.clone())
+            .map(|worker_state| worker_state.detail.name.clone())
     }
 }
 
-fn admitted(entry: &PlacementEntry, seat: &WorkerSeat) -> bool {
+fn admitted(entry: &PlacementEntry, worker_state: &WorkerState) -> bool {
     let rules: &[PlaceRule] = entry.need.as_ref().map_or(&[], |need| &need.rules);
-    rules.iter().all(|rule| rule.admits_worker(&seat.detail))
+    rules
+        .iter()
+        .all(|rule| rule.admits_worker(&worker_state.detail))
 }
 
 /// A number in `0..1` that is the same for the same attempt and worker.
--- a/crates/bankvalve_cell/src/owner/worker/placement_entry.rs
+++ b/crates/bankvalve_cell/src/owner/worker/placement_entry.rs
@@ -45,7 +45,7 @@
     pub(super) worker: Option<WorkerName>,
     pub(super) arrived: CellTime,
     pub(super) order: u64,
-    pub(super) say_at: Option<CellTime>,
+    pub(super) send_at: Option<CellTime>,
     pub(super) peak: TaskSize,
     pub(super) seen_running: bool,
     pub(super) ran_ms: u64,
@@ -87,7 +87,7 @@
             worker: None,
             arrived: now,
             order: number,
-            say_at: None,
+            send_at: None,
             peak: TaskSize::default(),
             seen_running: false,
             ran_ms: 0,
@@ -98,7 +98,7 @@
     }
 
     /// Tells whether it takes room on its worker.
-    pub(super) fn takes_room(&self) -> bool {
+    pub(super) fn uses_capacity(&self) -> bool {
         matches!(
             self.phase,
             PlacementPhase::Held { .. }
--- a/crates/bankvalve_cell/src/owner/worker/worker_partition.rs
+++ b/crates/bankvalve_cell/src/owner/worker/worker_partition.rs
@@ -3,10 +3,12 @@
 use std::collections::BTreeMap;
 
 use super::placement_entry::{PlacementEntry, PlacementPhase};
-use super::worker_seat::WorkerSeat;
+use super::worker_state::WorkerState;
 use crate::contract::CLOCK_RATE_BOUND;
 use crate::ids::{CellTime, Epoch, PartitionIndex, RegionName, RowVersion, WorkerName};
-use crate::link::{PeerMessage, PlacementStatus, RoomGroup, ServicePoint, TaskId, WorkerCommand};
+use crate::link::{
+    CapacityGroup, PeerMessage, PlacementStatus, ServiceEndpoint, TaskId, WorkerCommand,
+};
 use crate::machine::ListedWorker;
 use crate::membership::WorkerRoster;
 use crate::owner::{GuardName, OwnerAction, OwnerContext};
@@ -22,22 +24,22 @@
     pub(super) region: RegionName,
     pub(super) policy: PlacePolicy,
     pub(super) claimed_at: CellTime,
-    pub(super) seats: BTreeMap<WorkerName, WorkerSeat>,
+    pub(super) worker_states: BTreeMap<WorkerName, WorkerState>,
     pub(super) entries: BTreeMap<TaskId, PlacementEntry>,
     pub(super) digest_sequence: u64,
     pub(super) digest_due: CellTime,
-    pub(super) news_repeat: CellTime,
-    pub(super) told_groups: Vec<RoomGroup>,
-    pub(super) told_queued: u32,
-    pub(super) told_points: Vec<ServicePoint>,
+    pub(super) next_full_update: CellTime,
+    pub(super) sent_groups: Vec<CapacityGroup>,
+    pub(super) sent_queued: u32,
+    pub(super) sent_points: Vec<ServiceEndpoint>,
     pub(super) superseded: bool,
     /// What to say of tasks that workers hold but that are not known here.
-    pub(super) strays: BTreeMap<WorkerName, Vec<WorkerCommand>>,
+    pub(super) unknown_task_commands: BTreeMap<WorkerName, Vec<WorkerCommand>>,
     pub(super) team_epochs: BTreeMap<PartitionIndex, Epoch>,
     roster: Option<WorkerRoster>,
     roster_version: RowVersion,
     roster_writing: Option<WorkerRoster>,
-    pub(super) numbered: u64,
+    pub(super) last_order: u64,
 }
 
 impl WorkerPartition {
@@ -55,21 +57,21 @@
             region,
             policy,
             claimed_at: now,
-            seats: BTreeMap::new(),
+            worker_states: BTreeMap::new(),
             entries: BTreeMap::new(),
             digest_sequence: 0,
             digest_due: now,
-            news_repeat: now,
-            told_groups: Vec::new(),
-            told_queued: 0,
-            told_points: Vec::new(),
+            next_full_update: now,
+            sent_groups: Vec::new(),
+            sent_queued: 0,
+            sent_points: Vec::new(),
             superseded: false,
-            strays: BTreeMap::new(),
+            unknown_task_commands: BTreeMap::new(),
             team_epochs: BTreeMap::new(),
             roster: None,
             roster_version: 0,
             roster_writing: None,
-            numbered: 0,
+            last_order: 0,
         }
     }
 
@@ -89,17 +91,17 @@
     }
 
     /// Takes in the roster's row as read or written.
-    pub fn take_roster(&mut self, roster: WorkerRoster, version: RowVersion, now: CellTime) {
-        for seat in self.seats.values_mut() {
-            seat.recorded = false;
+    pub fn handle_roster(&mut self, roster: WorkerRoster, version: RowVersion, now: CellTime) {
+        for worker_state in self.worker_states.values_mut() {
+            worker_state.in_roster = false;
         }
         for detail in &roster.workers {
-            let seat = self
-                .seats
+            let worker_state = self
+                .worker_states
                 .entry(detail.name.clone())
-                .or_insert_with(|| WorkerSeat::new(detail.clone(), now));
-            seat.recorded = true;
-            seat.drained = roster.drained.contains(&detail.name);
+                .or_insert_with(|| WorkerState::new(detail.clone(), now));
+            worker_state.in_roster = true;
+            worker_state.drained = roster.drained.contains(&detail.name);
         }
         self.roster = Some(roster);
         self.roster_version = version;
@@ -110,7 +112,7 @@
     ///
     /// The owner then writes the roster back: only a write tells that what
     /// was read was the latest.
-    pub fn note_roster_version(&mut self, version: RowVersion) {
+    pub fn set_roster_version(&mut self, version: RowVersion) {
         self.roster_version = version;
     }
 
@@ -125,22 +127,24 @@
     }
 
     /// Takes in the platform's instance list, reduced to this partition.
-    pub fn take_list(&mut self, listed: &[ListedWorker], now: CellTime) {
-        for seat in self.seats.values_mut() {
-            seat.listed = None;
+    pub fn handle_list(&mut self, listed: &[ListedWorker], now: CellTime) {
+        for worker_state in self.worker_states.values_mut() {
+            worker_state.listed = None;
         }
         for worker in listed {
-            let seat = self
-                .seats
+            let worker_state = self
+                .worker_states
                 .entry(worker.detail.name.clone())
-                .or_insert_with(|| WorkerSeat::new(worker.detail.clone(), now));
-            seat.listed = Some(worker.state);
-            if seat.detail != worker.detail && seat.tasks == 0 {
-                seat.detail = worker.detail.clone();
+                .or_insert_with(|| WorkerState::new(worker.detail.clone(), now));
+            worker_state.listed = Some(worker.state);
+            if worker_state.detail != worker.detail && worker_state.tasks == 0 {
+                worker_state.detail = worker.detail.clone();
             }
         }
-        let gone = |seat: &WorkerSeat| seat.listed.is_none() && !seat.recorded;
-        self.seats.retain(|_, seat| !gone(seat));
+        let gone =
+            |worker_state: &WorkerState| worker_state.listed.is_none() && !worker_state.in_roster;
+        self.worker_states
+            .retain(|_, worker_state| !gone(worker_state));
     }
 
     /// Drains a worker or undoes that; returns whether the worker is known.
@@ -148,7 +152,7 @@
         let Some(roster) = &self.roster else {
             return false;
         };
-        if !self.seats.contains_key(worker) {
+        if !self.worker_states.contains_key(worker) {
             return false;
         }
         let mut roster = self.roster_writing.as_ref().unwrap_or(roster).clone();
@@ -165,14 +169,14 @@
         if self.roster.is_none() {
             return;
         }
-        self.record_new_workers(ctx);
-        self.give_up_silent_workers(ctx);
-        self.judge_workers(ctx);
-        self.tell_of_leaving(ctx);
-        self.lapse_holds(ctx);
+        self.add_new_workers_to_roster(ctx);
+        self.declare_lost_workers(ctx);
+        self.update_quarantines(ctx);
+        self.report_leaving(ctx);
+        self.expire_reservations(ctx);
         self.place_waiting(ctx);
         self.run_exchanges(ctx);
-        self.say_what_is_due(ctx);
+        self.send_due_messages(ctx);
         self.assert_capacity(ctx);
     }
 
@@ -186,7 +190,10 @@
     /// What is known of a task, for diagnosis.
     pub fn describe(&self, id: &TaskId) -> Option<String> {
         let entry = self.entries.get(id)?;
-        let seat = entry.worker.as_ref().and_then(|name| self.seats.get(name));
+        let worker_state = entry
+            .worker
+            .as_ref()
+            .and_then(|name| self.worker_states.get(name));
         Some(format!(
             "worker partition {} epoch {}: attempt {}, {:?} on {:?} ({:?})",
             self.index,
@@ -194,7 +201,7 @@
             entry.key.attempt,
             entry.phase,
             entry.worker,
-            seat.map(WorkerSeat::state_name)
+            worker_state.map(WorkerState::state_name)
         ))
     }
 
@@ -206,9 +213,9 @@
     }
 
     /// Makes the next exchange with a worker due at once.
-    pub(super) fn hasten(&mut self, worker: Option<&str>, now: CellTime) {
-        if let Some(seat) = worker.and_then(|name| self.seats.get_mut(name)) {
-            seat.next_exchange = now;
+    pub(super) fn make_exchange_due(&mut self, worker: Option<&str>, now: CellTime) {
+        if let Some(worker_state) = worker.and_then(|name| self.worker_states.get_mut(name)) {
+            worker_state.next_exchange = now;
         }
     }
 
@@ -217,22 +224,22 @@
         let Some(entry) = self.entries.get_mut(id) else {
             return;
         };
-        let before = entry.takes_room();
+        let before = entry.uses_capacity();
         entry.phase = phase;
-        let after = entry.takes_room();
-        let Some(seat) = entry
+        let after = entry.uses_capacity();
+        let Some(worker_state) = entry
             .worker
             .as_ref()
-            .and_then(|name| self.seats.get_mut(name))
+            .and_then(|name| self.worker_states.get_mut(name))
         else {
             return;
         };
         if before && !after {
-            seat.reserved = seat.reserved.minus(entry.label.size);
-            seat.tasks -= 1;
+            worker_state.reserved = worker_state.reserved.minus(entry.label.size);
+            worker_state.tasks -= 1;
         } else if !before && after {
-            seat.reserved = seat.reserved.plus(entry.label.size);
-            seat.tasks += 1;
+            worker_state.reserved = worker_state.reserved.plus(entry.label.size);
+            worker_state.tasks += 1;
         }
     }
 
@@ -243,18 +250,18 @@
     }
 
     /// Marks an entry over and tells its team's owner.
-    pub(super) fn set_over(
+    pub(super) fn finish_entry(
         &mut self,
         id: &TaskId,
         status: PlacementStatus,
         ctx: &mut OwnerContext<'_>,
     ) {
         self.set_phase(id, PlacementPhase::Over(status));
-        self.say(id, ctx);
+        self.send_status(id, ctx);
     }
 
     /// Tells an entry's team's owner how it stands.
-    pub(super) fn say(&mut self, id: &TaskId, ctx: &mut OwnerContext<'_>) {
+    pub(super) fn send_status(&mut self, id: &TaskId, ctx: &mut OwnerContext<'_>) {
         let Some(entry) = self.entries.get_mut(id) else {
             return;
         };
@@ -263,21 +270,25 @@
             PlacementPhase::Held { .. } => PlacementStatus::Held,
             PlacementPhase::Starting { .. } | PlacementPhase::Recorded => return,
             PlacementPhase::Running | PlacementPhase::Stopping { .. } => {
-                let Some(seat) = entry.worker.as_ref().and_then(|name| self.seats.get(name)) else {
+                let Some(worker_state) = entry
+                    .worker
+                    .as_ref()
+                    .and_then(|name| self.worker_states.get(name))
+                else {
                     return;
                 };
                 // Said again until the service's owner has moved the task.
-                let again = seat.is_leaving() && entry.label.service.is_some();
-                entry.say_at = again.then_some(ctx.now + ctx.timings.repeat);
+                let again = worker_state.is_leaving() && entry.label.service.is_some();
+                entry.send_at = again.then_some(ctx.now + ctx.timings.repeat);
                 PlacementStatus::Started {
-                    worker: seat.detail.name.clone(),
-                    domain: seat.detail.domain.clone(),
-                    rack: seat.detail.rack.clone(),
-                    leaving: seat.is_leaving(),
+                    worker: worker_state.detail.name.clone(),
+                    domain: worker_state.detail.domain.clone(),
+                    rack: worker_state.detail.rack.clone(),
+                    leaving: worker_state.is_leaving(),
                 }
             }
             PlacementPhase::Over(status) => {
-                entry.say_at = Some(ctx.now + ctx.timings.repeat);
+                entry.send_at = Some(ctx.now + ctx.timings.repeat);
                 status.clone()
             }
         };
@@ -288,56 +299,69 @@
             key: entry.key.clone(),
             status,
         };
-        ctx.tell_team(entry.label.team_partition, message);
+        ctx.send_to_team_owner(entry.label.team_partition, message);
     }
 
-    pub(super) fn record_new_workers(&mut self, ctx: &mut OwnerContext<'_>) {
-        if self.roster_writing.is_some() || self.seats.values().all(|seat| seat.recorded) {
+    pub(super) fn add_new_workers_to_roster(&mut self, ctx: &mut OwnerContext<'_>) {
+        if self.roster_writing.is_some()
+            || self
+                .worker_states
+                .values()
+                .all(|worker_state| worker_state.in_roster)
+        {
             return;
         }
         let Some(roster) = &self.roster else { return };
         let mut roster = roster.clone();
-        let gone = |seat: &WorkerSeat| seat.listed.is_none() && seat.given_up;
-        let kept = self.seats.values().filter(|seat| !gone(seat));
-        roster.workers = kept.map(|seat| seat.detail.clone()).collect();
+        let gone = |worker_state: &WorkerState| {
+            worker_state.listed.is_none() && worker_state.declared_lost
+        };
+        let kept = self
+            .worker_states
+            .values()
+            .filter(|worker_state| !gone(worker_state));
+        roster.workers = kept
+            .map(|worker_state| worker_state.detail.clone())
+            .collect();
         self.write_roster(roster, ctx);
     }
 
     pub(super) fn write_roster(&mut self, roster: WorkerRoster, ctx: &mut OwnerContext<'_>) {
         self.roster_writing = Some(roster.clone());
         let partition = self.index;
-        ctx.act(OwnerAction::WriteRoster { partition, roster });
+        ctx.push_action(OwnerAction::WriteRoster { partition, roster });
     }
 
     /// Gives up workers whose leases are surely over.
-    pub(super) fn give_up_silent_workers(&mut self, ctx: &mut OwnerContext<'_>) {
+    pub(super) fn declare_lost_workers(&mut self, ctx: &mut OwnerContext<'_>) {
         let lease_length = ctx.timings.worker_lease;
         let never_reached = (ctx.timings.unattended + lease_length).mul_f64(1.0 + CLOCK_RATE_BOUND);
         let unattended_until = self.claimed_at + never_reached;
-        let mut silent = Vec::new();
-        for (name, seat) in &mut self.seats {
-            let over_at = match seat.lease {
-                Some(lease) if ctx.guards.has(GuardName::LeaseEnd) => {
-                    lease.surely_over_at(lease_length)
+        let mut unresponsive = Vec::new();
+        for (name, worker_state) in &mut self.worker_states {
+            let over_at = match worker_state.lease {
+                Some(lease) if ctx.guards.enforces(GuardName::LeaseEnd) => {
+                    lease.expires_by(lease_length)
                 }
                 Some(lease) => lease.received + ctx.timings.worker_heartbeat * 2,
                 None => unattended_until,
             };
-            if !seat.given_up && ctx.now > over_at {
-                seat.given_up = true;
-                silent.push(name.clone());
+            if !worker_state.declared_lost && ctx.now > over_at {
+                worker_state.declared_lost = true;
+                unresponsive.push(name.clone());
             }
         }
-        for name in silent {
+        for name in unresponsive {
             ctx.tally.refuse(RefusalReason::WorkerUnreachable);
-            self.lose_tasks_of(&name, ctx);
+            self.release_tasks_of(&name, ctx);
         }
     }
 
     /// Settles all tasks of a worker that surely runs none of them.
-    pub(super) fn lose_tasks_of(&mut self, worker: &str, ctx: &mut OwnerContext<'_>) {
-        let on_worker =
-            |entry: &PlacementEntry| entry.takes_room() && entry.worker.as_deref() == Some(worker);
+    pub(super) fn release_tasks_of(&mut self, worker: &str, ctx: &mut OwnerContext<'_>) {
+        let on_worker = |entry: &PlacementEntry| {
+            entry.uses_capacity() && entry.worker.as_deref() == Some(worker)
+        };
         let lost: Vec<TaskId> = self
             .entries
             .iter()
@@ -348,7 +372,7 @@
             if self.entries[&id].is_unsent() {
                 self.requeue(&id);
             } else {
-                self.set_over(&id, PlacementStatus::Lost, ctx);
+                self.finish_entry(&id, PlacementStatus::Lost, ctx);
             }
         }
     }
@@ -361,36 +385,42 @@
         }
     }
 
-    pub(super) fn judge_workers(&mut self, ctx: &mut OwnerContext<'_>) {
-        let count = self.seats.len().max(1) as f64;
-        let sum: f64 = self.seats.values().map(WorkerSeat::failure_share).sum();
-        for seat in self.seats.values_mut() {
-            let others = (sum - seat.failure_share()) / (count - 1.0).max(1.0);
-            seat.judge(ctx.now, others, ctx.timings.quarantine);
+    pub(super) fn update_quarantines(&mut self, ctx: &mut OwnerContext<'_>) {
+        let count = self.worker_states.len().max(1) as f64;
+        let sum: f64 = self
+            .worker_states
+            .values()
+            .map(WorkerState::failure_share)
+            .sum();
+        for worker_state in self.worker_states.values_mut() {
+            let others = (sum - worker_state.failure_share()) / (count - 1.0).max(1.0);
+            worker_state.update_quarantine(ctx.now, others, ctx.timings.quarantine);
         }
     }
 
     /// Has the services' owners told when a worker begins or ceases to leave.
-    pub(super) fn tell_of_leaving(&mut self, ctx: &mut OwnerContext<'_>) {
+    pub(super) fn report_leaving(&mut self, ctx: &mut OwnerContext<'_>) {
         let changed: Vec<WorkerName> = self
-            .seats
+            .worker_states
             .values_mut()
-            .filter(|seat| seat.fenced && seat.told_leaving != seat.is_leaving())
-            .map(|seat| {
-                seat.told_leaving = seat.is_leaving();
-                seat.detail.name.clone()
+            .filter(|worker_state| {
+                worker_state.fenced && worker_state.reported_leaving != worker_state.is_leaving()
+            })
+            .map(|worker_state| {
+                worker_state.reported_leaving = worker_state.is_leaving();
+                worker_state.detail.name.clone()
             })
             .collect();
         for entry in self.entries.values_mut() {
             let here = |worker: &WorkerName| changed.contains(worker);
             let serves = entry.label.service.is_some();
             if serves && entry.worker.as_ref().is_some_and(here) {
-                entry.say_at = Some(ctx.now);
+                entry.send_at = Some(ctx.now);
             }
         }
     }
 
-    pub(super) fn lapse_holds(&mut self, ctx: &mut OwnerContext<'_>) {
+    pub(super) fn expire_reservations(&mut self, ctx: &mut OwnerContext<'_>) {
         let now = ctx.now;
         let lapsed: Vec<TaskId> = self
             .entries
@@ -405,26 +435,26 @@
         }
     }
 
-    pub(super) fn say_what_is_due(&mut self, ctx: &mut OwnerContext<'_>) {
+    pub(super) fn send_due_messages(&mut self, ctx: &mut OwnerContext<'_>) {
         let now = ctx.now;
         let due: Vec<TaskId> = self
             .entries
             .iter()
-            .filter(|(_, entry)| entry.say_at.is_some_and(|at| at <= now))
+            .filter(|(_, entry)| entry.send_at.is_some_and(|at| at <= now))
             .map(|(id, _)| id.clone())
             .collect();
         for id in due {
-            self.say(&id, ctx);
+            self.send_status(&id, ctx);
         }
     }
 
     pub(super) fn assert_capacity(&self, ctx: &mut OwnerContext<'_>) {
-        for seat in self.seats.values() {
-            let holds = seat.reserved.fits_in(seat.detail.size);
+        for worker_state in self.worker_states.values() {
+            let holds = worker_state.reserved.fits_in(worker_state.detail.size);
             ctx.tally.assert(InvariantKind::Capacity, holds, || {
                 format!(
                     "worker {} holds {} of {}",
-                    seat.detail.name, seat.reserved, seat.detail.size
+                    worker_state.detail.name, worker_state.reserved, worker_state.detail.size
                 )
             });
         }
--- a/crates/bankvalve_cell/src/owner/worker/worker_seat.rs
+++ b/crates/bankvalve_cell/src/owner/worker/worker_state.rs
@@ -69,19 +69,19 @@
 
 /// A worker as its partition's owner sees it.
 #[derive(Clone, Debug)]
-pub(super) struct WorkerSeat {
+pub(super) struct WorkerState {
     pub(super) detail: WorkerDetail,
     pub(super) listed: Option<ListState>,
     pub(super) drained: bool,
     /// Whether the tasks' owners were last told that it is to be emptied.
-    pub(super) told_leaving: bool,
-    pub(super) recorded: bool,
+    pub(super) reported_leaving: bool,
+    pub(super) in_roster: bool,
     pub(super) incarnation: Option<Incarnation>,
     pub(super) lease: Option<WorkerLease>,
     /// Whether the worker answered under this owner's epoch, so that nothing older can reach it.
     pub(super) fenced: bool,
     /// Whether its leases are surely over, so that it holds nothing.
-    pub(super) given_up: bool,
+    pub(super) declared_lost: bool,
     pub(super) sequence: u64,
     pub(super) open: Option<OpenExchange>,
     pub(super) next_exchange: CellTime,
@@ -91,18 +91,18 @@
     pub(super) outcomes: OutcomeRecord,
 }
 
-impl WorkerSeat {
+impl WorkerState {
     pub(super) fn new(detail: WorkerDetail, now: CellTime) -> Self {
         Self {
             detail,
             listed: None,
             drained: false,
-            told_leaving: false,
-            recorded: false,
+            reported_leaving: false,
+            in_roster: false,
             incarnation: None,
             lease: None,
             fenced: false,
-            given_up: false,
+            declared_lost: false,
             sequence: 0,
             open: None,
             next_exchange: now,
@@ -124,18 +124,18 @@
     }
 
     /// Tells whether it answers and may be given new tasks.
-    pub(super) fn takes_tasks(&self) -> bool {
+    pub(super) fn accepts_tasks(&self) -> bool {
         let trusted = match self.trust {
             TrustState::Trusted => true,
             TrustState::Quarantined { .. } => false,
             TrustState::Probing { allowed, .. } => self.tasks < allowed,
         };
-        self.fenced && !self.given_up && self.recorded && trusted && !self.is_leaving()
+        self.fenced && !self.declared_lost && self.in_roster && trusted && !self.is_leaving()
     }
 
     /// State as shown to people.
     pub(super) fn state_name(&self) -> &'static str {
-        if self.given_up {
+        if self.declared_lost {
             "unreachable"
         } else if !self.fenced {
             "unfenced"
@@ -200,7 +200,7 @@
     }
 
     /// Quarantines or lets back the worker, given the share of failures of its peers.
-    pub(super) fn judge(&mut self, now: CellTime, peer_share: f64, first: Duration) {
+    pub(super) fn update_quarantine(&mut self, now: CellTime, peer_share: f64, first: Duration) {
         match self.trust {
             TrustState::Trusted => {
                 let fails_all = self.outcomes.failed >= FAILURE_FLOOR
--- a/crates/bankvalve_cell/src/placement/mod.rs
+++ b/crates/bankvalve_cell/src/placement/mod.rs
@@ -4,6 +4,6 @@
 mod place_policy;
 mod preempt_choice;
 
-pub use partition_choice::{PartitionChoice, PlaceWish, RoomBoard};
-pub use place_policy::{PlacePolicy, RoomView};
+pub use partition_choice::{DigestCache, PartitionChoice, PlacementRequirements};
+pub use place_policy::{PlacePolicy, ScoreInput};
 pub use preempt_choice::{choose_victims, VictimCandidate};
--- a/crates/bankvalve_cell/src/placement/partition_choice.rs
+++ b/crates/bankvalve_cell/src/placement/partition_choice.rs
@@ -5,10 +5,10 @@
 use rand::Rng;
 use rand_pcg::Pcg64Mcg;
 
-use super::{PlacePolicy, RoomView};
+use super::{PlacePolicy, ScoreInput};
 use crate::contract::PlaceRule;
 use crate::ids::{CellTime, DomainName, Epoch, PartitionIndex};
-use crate::link::{PartitionDigest, RoomGroup};
+use crate::link::{CapacityGroup, PartitionDigest};
 use crate::machine::TaskSize;
 
 /// Groups that are drawn and compared for one task.
@@ -18,7 +18,7 @@
 
 /// What is sought for a task.
 #[derive(Clone, Debug)]
-pub struct PlaceWish<'a> {
+pub struct PlacementRequirements<'a> {
     /// Room that the task needs.
     pub need: TaskSize,
     /// Rules that must all admit the place.
@@ -32,9 +32,9 @@
     /// Whether a place in a queue will do.
     pub may_queue: bool,
     /// Partition not to choose.
-    pub except: Option<PartitionIndex>,
+    pub excluded: Option<PartitionIndex>,
     /// Tasks that are sought together; more than one for a gang.
-    pub together: u32,
+    pub gang_size: u32,
 }
 
 /// A partition that was chosen.
@@ -51,20 +51,20 @@
 }
 
 #[derive(Clone, Debug)]
-struct BoardEntry {
+struct CachedDigest {
     digest: PartitionDigest,
     received: CellTime,
 }
 
 /// Room of all worker partitions, as last heard, less what was assigned since.
 #[derive(Clone, Debug, Default)]
-pub struct RoomBoard {
-    entries: BTreeMap<PartitionIndex, BoardEntry>,
+pub struct DigestCache {
+    entries: BTreeMap<PartitionIndex, CachedDigest>,
 }
 
-impl RoomBoard {
+impl DigestCache {
     /// Takes in a digest, unless a later one is known.
-    pub fn take(&mut self, now: CellTime, digest: PartitionDigest) {
+    pub fn update(&mut self, now: CellTime, digest: PartitionDigest) {
         let known = self.entries.get(&digest.partition);
         let place = |digest: &PartitionDigest| (digest.epoch, digest.sequence);
         if known.is_some_and(|entry| place(&entry.digest) >= place(&digest)) {
@@ -72,7 +72,7 @@
         }
         let received = now;
         self.entries
-            .insert(digest.partition, BoardEntry { digest, received });
+            .insert(digest.partition, CachedDigest { digest, received });
     }
 
     /// All digests.
@@ -88,21 +88,26 @@
     /// Chooses a partition: with free room, else by preemption, else with a place in its queue.
     pub fn choose(
         &self,
-        wish: &PlaceWish<'_>,
+        requirements: &PlacementRequirements<'_>,
         policy: &PlacePolicy,
         rng: &mut Pcg64Mcg,
     ) -> Option<PartitionChoice> {
-        let admitted: Vec<_> = self.admitted(wish).collect();
-        let fits = |group: &RoomGroup| group.largest.iter().any(|room| wish.need.fits_in(*room));
+        let admitted: Vec<_> = self.admitted(requirements).collect();
+        let fits = |group: &CapacityGroup| {
+            group
+                .largest
+                .iter()
+                .any(|room| requirements.need.fits_in(*room))
+        };
         let with_room: Vec<_> = admitted
             .iter()
             .copied()
             .filter(|(_, group)| fits(group))
             .collect();
         if !with_room.is_empty() {
-            return self.best_of(&with_room, wish, policy, rng);
+            return self.best_of(&with_room, requirements, policy, rng);
         }
-        if wish.urgent {
+        if requirements.urgent {
             let preemptible: Vec<_> = admitted
                 .iter()
                 .copied()
@@ -110,21 +115,21 @@
                     group
                         .preemptible
                         .iter()
-                        .any(|room| wish.need.fits_in(*room))
+                        .any(|room| requirements.need.fits_in(*room))
                 })
                 .collect();
             if let Some(choice) = most_room(&preemptible) {
                 return Some(choice);
             }
         }
-        if wish.may_queue {
-            return shortest_queue(&admitted, wish);
+        if requirements.may_queue {
+            return shortest_queue(&admitted, requirements);
         }
         None
     }
 
     /// Tells whether the place of an earlier choice still has room for a task.
-    pub fn has_room(&self, choice: &PartitionChoice, need: TaskSize) -> bool {
+    pub fn has_capacity(&self, choice: &PartitionChoice, need: TaskSize) -> bool {
         let entry = self.entries.get(&choice.partition);
         let mut groups = entry.into_iter().flat_map(|entry| &entry.digest.groups);
         groups.any(|group| group.domain == choice.domain && room_for(group, need) > 0)
@@ -165,20 +170,20 @@
 
     fn admitted<'a>(
         &'a self,
-        wish: &'a PlaceWish<'_>,
-    ) -> impl Iterator<Item = (&'a PartitionDigest, &'a RoomGroup)> {
+        requirements: &'a PlacementRequirements<'_>,
+    ) -> impl Iterator<Item = (&'a PartitionDigest, &'a CapacityGroup)> {
         self.entries
             .values()
-            .filter(|entry| Some(entry.digest.partition) != wish.except)
+            .filter(|entry| Some(entry.digest.partition) != requirements.excluded)
             .flat_map(|entry| entry.digest.groups.iter().map(move |group| (entry, group)))
-            .filter(|(entry, group)| admits(wish.rules, &entry.digest, group))
+            .filter(|(entry, group)| admits(requirements.rules, &entry.digest, group))
             .map(|(entry, group)| (&entry.digest, group))
     }
 
     fn best_of(
         &self,
-        groups: &[(&PartitionDigest, &RoomGroup)],
-        wish: &PlaceWish<'_>,
+        groups: &[(&PartitionDigest, &CapacityGroup)],
+        requirements: &PlacementRequirements<'_>,
         policy: &PlacePolicy,
         rng: &mut Pcg64Mcg,
     ) -> Option<PartitionChoice> {
@@ -186,10 +191,10 @@
         let drawn = rand::seq::index::sample(rng, groups.len(), sample);
         let mut best: Option<(f64, usize)> = None;
         for index in drawn {
-            let score = if wish.together > 1 {
-                f64::from(room_for(groups[index].1, wish.need).min(wish.together))
+            let score = if requirements.gang_size > 1 {
+                f64::from(room_for(groups[index].1, requirements.need).min(requirements.gang_size))
             } else {
-                policy.score_partition(&view_of(groups[index].1, wish, rng))
+                policy.score_partition(&view_of(groups[index].1, requirements, rng))
             };
             if best.is_none_or(|(other, _)| score > other) {
                 best = Some((score, index));
@@ -200,35 +205,39 @@
     }
 }
 
-fn admits(rules: &[PlaceRule], digest: &PartitionDigest, group: &RoomGroup) -> bool {
+fn admits(rules: &[PlaceRule], digest: &PartitionDigest, group: &CapacityGroup) -> bool {
     rules
         .iter()
         .all(|rule| rule.admits(&digest.region, &group.domain))
 }
 
-fn view_of(group: &RoomGroup, wish: &PlaceWish<'_>, rng: &mut Pcg64Mcg) -> RoomView {
+fn view_of(
+    group: &CapacityGroup,
+    requirements: &PlacementRequirements<'_>,
+    rng: &mut Pcg64Mcg,
+) -> ScoreInput {
     let largest_fitting = group
         .largest
         .iter()
-        .filter(|room| wish.need.fits_in(**room))
+        .filter(|room| requirements.need.fits_in(**room))
         .min_by_key(|room| room.millicores);
-    RoomView {
+    ScoreInput {
         total: group.classes.first().copied().unwrap_or(group.free),
         free: largest_fitting.copied().unwrap_or_default(),
-        need: wish.need,
-        same_domain: wish.spread.get(&group.domain).copied().unwrap_or(0),
+        need: requirements.need,
+        same_domain: requirements.spread.get(&group.domain).copied().unwrap_or(0),
         same_rack: 0,
-        service: wish.service,
-        draw: rng.random(),
+        service: requirements.service,
+        random_unit: rng.random(),
     }
 }
 
 /// Tasks that the roomiest workers of a group hold side by side.
-fn room_for(group: &RoomGroup, need: TaskSize) -> u32 {
+fn room_for(group: &CapacityGroup, need: TaskSize) -> u32 {
     group.largest.iter().map(|room| room.count_of(need)).sum()
 }
 
-fn choice_of(digest: &PartitionDigest, group: &RoomGroup, choices: usize) -> PartitionChoice {
+fn choice_of(digest: &PartitionDigest, group: &CapacityGroup, choices: usize) -> PartitionChoice {
     PartitionChoice {
         partition: digest.partition,
         epoch: digest.epoch,
@@ -237,7 +246,7 @@
     }
 }
 
-fn most_room(groups: &[(&PartitionDigest, &RoomGroup)]) -> Option<PartitionChoice> {
+fn most_room(groups: &[(&PartitionDigest, &CapacityGroup)]) -> Option<PartitionChoice> {
     let best = groups
         .iter()
         .max_by_key(|(_, group)| group.preemptible.iter().max().copied())?;
@@ -245,10 +254,15 @@
 }
 
 fn shortest_queue(
-    groups: &[(&PartitionDigest, &RoomGroup)],
-    wish: &PlaceWish<'_>,
+    groups: &[(&PartitionDigest, &CapacityGroup)],
+    requirements: &PlacementRequirements<'_>,
 ) -> Option<PartitionChoice> {
-    let could_hold = |group: &RoomGroup| group.classes.iter().any(|all| wish.need.fits_in(*all));
+    let could_hold = |group: &CapacityGroup| {
+        group
+            .classes
+            .iter()
+            .any(|all| requirements.need.fits_in(*all))
+    };
     let workers =
         |digest: &PartitionDigest| -> u32 { digest.groups.iter().map(|group| group.workers).sum() };
     let best = groups
--- a/crates/bankvalve_cell/src/placement/place_policy.rs
+++ b/crates/bankvalve_cell/src/placement/place_policy.rs
@@ -7,7 +7,7 @@
 
 /// A place with room, as a score sees it.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct RoomView {
+pub struct ScoreInput {
     /// Room that the place has in all.
     pub total: TaskSize,
     /// Room that is free.
@@ -21,11 +21,11 @@
     /// Whether the task belongs to a service.
     pub service: bool,
     /// Number in `0..1` drawn for this place and task.
-    pub draw: f64,
+    pub random_unit: f64,
 }
 
 /// A score; the place with the highest is chosen.
-type PlaceScore = Arc<dyn Fn(&RoomView) -> f64 + Send + Sync>;
+type PlaceScore = Arc<dyn Fn(&ScoreInput) -> f64 + Send + Sync>;
 
 /// How places are compared: worker partitions first, then workers inside one.
 #[derive(Clone)]
@@ -60,26 +60,26 @@
     ///
     /// ```
     /// use bankvalve_cell::machine::TaskSize;
-    /// use bankvalve_cell::placement::{PlacePolicy, RoomView};
+    /// use bankvalve_cell::placement::{PlacePolicy, ScoreInput};
     ///
     /// let total = TaskSize { millicores: 16_000, memory_mib: 65_536, accelerators: 0 };
     /// let need = TaskSize { millicores: 4_000, memory_mib: 4_096, accelerators: 0 };
-    /// let view = |free| RoomView {
-    ///     total, free, need, same_domain: 0, same_rack: 0, service: false, draw: 0.5,
+    /// let view = |free| ScoreInput {
+    ///     total, free, need, same_domain: 0, same_rack: 0, service: false, random_unit: 0.5,
     /// };
     /// let policy = PlacePolicy::tight();
     /// assert!(policy.score_worker(&view(need)) > policy.score_worker(&view(total)));
     /// ```
     pub fn tight() -> Self {
         let spread =
-            |view: &RoomView| -f64::from(view.same_domain) * 10.0 - f64::from(view.same_rack);
+            |view: &ScoreInput| -f64::from(view.same_domain) * 10.0 - f64::from(view.same_rack);
         Self::new(
             "tight",
             move |view| {
                 if view.service {
-                    spread(view) + view.draw
+                    spread(view) + view.random_unit
                 } else {
-                    view.draw
+                    view.random_unit
                 }
             },
             move |view| {
@@ -99,12 +99,12 @@
 
     /// Baseline: any place that fits.
     pub fn random() -> Self {
-        Self::new("random", |view| view.draw, |view| view.draw)
+        Self::new("random", |view| view.random_unit, |view| view.random_unit)
     }
 
     /// Baseline: the first thin version packed partitions and workers alike.
     pub fn first_version() -> Self {
-        let score = |view: &RoomView| {
+        let score = |view: &ScoreInput| {
             let left = left_share(view);
             if view.service {
                 -f64::from(view.same_domain) * 10.0 - f64::from(view.same_rack) + left
@@ -116,19 +116,19 @@
     }
 
     /// Score of a worker partition.
-    pub fn score_partition(&self, view: &RoomView) -> f64 {
+    pub fn score_partition(&self, view: &ScoreInput) -> f64 {
         (self.partition_score)(view)
     }
 
     /// Score of a worker.
-    pub fn score_worker(&self, view: &RoomView) -> f64 {
+    pub fn score_worker(&self, view: &ScoreInput) -> f64 {
         (self.worker_score)(view)
     }
 
     fn new(
         name: &'static str,
-        partition_score: impl Fn(&RoomView) -> f64 + Send + Sync + 'static,
-        worker_score: impl Fn(&RoomView) -> f64 + Send + Sync + 'static,
+        partition_score: impl Fn(&ScoreInput) -> f64 + Send + Sync + 'static,
+        worker_score: impl Fn(&ScoreInput) -> f64 + Send + Sync + 'static,
     ) -> Self {
         Self {
             name,
@@ -139,7 +139,7 @@
 }
 
 /// Room left after the task, as the mean share of processors and memory.
-fn left_share(view: &RoomView) -> f64 {
+fn left_share(view: &ScoreInput) -> f64 {
     let left = view.free.minus(view.need);
     let share = |part: u32, whole: u32| f64::from(part) / f64::from(whole.max(1));
     (share(left.millicores, view.total.millicores) + share(left.memory_mib, view.total.memory_mib))
