--- a/crates/bankvalve_check/src/measure/decision_time.rs
+++ b/crates/bankvalve_check/src/measure/decision_time.rs
@@ -15,7 +15,7 @@
     CellTimings, FlushOutcome, GuardSet, OwnerAction, OwnerContext, TeamPartition, TeamView,
     WorkerPartition,
 };
-use bankvalve_cell::placement::{PlacePolicy, RoomBoard};
+use bankvalve_cell::placement::{DigestCache, PlacePolicy};
 use bankvalve_cell::tally::CellTally;
 use bankvalve_standin::model::WorkerModel;
 use hdrhistogram::Histogram;
@@ -54,7 +54,7 @@
 
 /// Owners of one cell, stepped by hand so that each decision can be timed.
 struct DecisionBench {
-    board: RoomBoard,
+    digest_cache: DigestCache,
     partitions: Vec<WorkerPartition>,
     workers: BTreeMap<WorkerName, WorkerModel>,
     team: TeamPartition,
@@ -133,7 +133,7 @@
             };
         }
         let mut bench = Self {
-            board: RoomBoard::default(),
+            digest_cache: DigestCache::default(),
             partitions: Vec::new(),
             workers: models,
             team: TeamPartition::new(0, writer, 1, PlacePolicy::default(), CellTime::ZERO),
@@ -160,7 +160,7 @@
             workers: workers.to_vec(),
             drained: Vec::new(),
         };
-        owner.take_roster(roster, 1, self.now);
+        owner.handle_roster(roster, 1, self.now);
         let listed: Vec<ListedWorker> = workers
             .iter()
             .map(|detail| ListedWorker {
@@ -168,7 +168,7 @@
                 state: ListState::Live,
             })
             .collect();
-        owner.take_list(&listed, self.now);
+        owner.handle_list(&listed, self.now);
         self.partitions.push(owner);
     }
 
@@ -209,10 +209,10 @@
             actions: &mut actions,
         };
         let mut view = TeamView {
-            board: &mut self.board,
+            digest_cache: &mut self.digest_cache,
             worker_rows: &rows,
             listed: &self.listed,
-            store_answers: true,
+            store_available: true,
         };
         step(&mut self.team, &mut view, &mut ctx);
         actions
@@ -252,7 +252,7 @@
                     sequence,
                     ..self.partitions[index].digest()
                 };
-                self.board.take(self.now, digest);
+                self.digest_cache.update(self.now, digest);
             }
             let actions = self.with_team(|team, view, ctx| team.tick(view, ctx));
             self.carry(actions);
@@ -293,7 +293,7 @@
         let answer = Ok(model.exchange(clock, exchange));
         let token = exchange.token;
         self.with_partition(index, |owner, ctx| {
-            owner.take_answer(worker, token, answer, ctx);
+            owner.handle_answer(worker, token, answer, ctx);
         })
     }
 
@@ -309,7 +309,7 @@
             return Vec::new();
         };
         self.with_team(|team, view, ctx| {
-            team.take_status(partition, epoch, &key, status, view, ctx);
+            team.handle_status(partition, epoch, &key, status, view, ctx);
         })
     }
 
--- a/crates/bankvalve_check/src/random/episode.rs
+++ b/crates/bankvalve_check/src/random/episode.rs
@@ -146,7 +146,7 @@
         .map(|(_, owner)| owner)
         .collect();
     let over = |owner: &&bankvalve_cell::owner::TeamPartition| {
-        owner.is_settled()
+        owner.is_flushed()
             && owner.is_confirmed()
             && owner
                 .ledger()
