--- a/crates/bankvalve_cell/src/owner/cell_timings.rs
+++ b/crates/bankvalve_cell/src/owner/cell_timings.rs
@@ -1,8 +1,8 @@
-//! Times that govern an entry instance.
+//! Timeouts, intervals and lease lengths of an entry instance.
 
 use std::time::Duration;
 
-/// Times that govern an entry instance; the same on all instances of a cell.
+/// Timeouts, intervals and lease lengths; the same on all entry instances of a cell.
 ///
 /// # Examples
 ///
@@ -16,43 +16,43 @@
 pub struct CellTimings {
     /// Length of the lease under which a worker runs tasks.
     pub worker_lease: Duration,
-    /// Time between two exchanges with a worker that has nothing to do.
+    /// Interval of exchanges with a worker for which no command waits.
     pub worker_heartbeat: Duration,
-    /// Time after which an exchange with a worker counts as unanswered.
+    /// Timeout of an exchange with a worker.
     pub worker_answer: Duration,
     /// Length of an entry instance's lease.
     pub instance_lease: Duration,
-    /// Time between two renewals of that lease.
+    /// Interval of renewals of that lease.
     pub instance_renewal: Duration,
-    /// Time between two scans of the membership and partition rows.
+    /// Interval of scans of the membership and partition rows.
     pub scan: Duration,
-    /// Time between two reads of the bundle's row.
+    /// Interval of reads of the bundle's row.
     pub bundle_poll: Duration,
-    /// Least time between two commits to the ledger.
+    /// Shortest interval of commits to the ledger.
     pub commit_pace: Duration,
-    /// Time after which a request to the store counts as unanswered.
+    /// Timeout of a request to the table service.
     pub store_answer: Duration,
-    /// Time after which the store counts as unavailable for new work.
+    /// Time without an answer after which the table service counts as unavailable for new work.
     pub store_silence: Duration,
-    /// Longest that an owner goes on commanding workers without the store.
+    /// Longest time for which an owner goes on commanding workers without an answered scan of its rows.
     pub unattended: Duration,
-    /// Time between two digests of a partition.
+    /// Interval of digests of a partition.
     pub digest: Duration,
-    /// Time between two repetitions of a message that needs an answer.
+    /// Interval at which a message that needs an answer is repeated.
     pub repeat: Duration,
     /// Time after which a queued task may be moved to another partition.
     pub move_after: Duration,
-    /// Time in which all tasks of a gang must hold room.
+    /// Time within which all tasks of a gang must reserve capacity; the gang is then withdrawn and retried.
     pub gang_reservation_timeout: Duration,
-    /// Time that a hold lasts without being asked for again.
+    /// Time after which reserved capacity is released unless the placement order is repeated.
     pub reservation_timeout: Duration,
-    /// Time after which a caller's command counts as unanswered.
+    /// Timeout of a caller's command.
     pub command_answer: Duration,
-    /// First time that a worker is quarantined for failing everything.
+    /// Length of the first quarantine of a worker that fails most of its tasks.
     pub quarantine: Duration,
-    /// Time between two batches to a peer; zero sends at once.
+    /// Shortest interval of batches to a peer; zero sends at once.
     pub peer_pace: Duration,
-    /// Time between two heartbeats to a peer.
+    /// Interval of heartbeats to a peer.
     pub peer_heartbeat: Duration,
 }
 
--- a/crates/bankvalve_cell/src/owner/guard_set.rs
+++ b/crates/bankvalve_cell/src/owner/guard_set.rs
@@ -1,31 +1,31 @@
-//! The guards on which the invariants rest, so that a check can take one away.
+//! The guards on which the invariants rest; a check can disable one.
 
-/// A guard that can be taken away to show that its absence is noticed.
+/// A guard that a check can disable, to show that its absence is detected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum GuardName {
-    /// A new owner fences workers and asks what they hold.
+    /// A new owner declares an earlier owner's attempt lost only when it has fenced the workers.
     WorkerFence,
-    /// An intent is committed before the attempt is sent out.
+    /// An intent is committed before the placement order is sent.
     IntentFirst,
-    /// A lost worker's tasks are given up only when their leases are surely over.
+    /// An unresponsive worker's tasks are declared lost only when their leases are known to have expired.
     LeaseEnd,
-    /// A lost answer to a commit is resolved by trying and reading again.
+    /// A write without an answer is resolved by sending it again and, on a conflict, reading the row.
     ReadBack,
-    /// A gang starts only when all of it holds room.
+    /// A gang starts only when all its tasks have reserved capacity.
     GangCommit,
-    /// The worker's owner checks capacity, whatever the chooser saw.
+    /// The worker's owner checks its free capacity, whatever digest the partition was chosen from.
     OwnerCapacity,
-    /// A commit requires that the partition still has the same owner.
+    /// A commit requires that the team partition still has the same owner.
     CommitFence,
     /// The release of an attempt requires that the worker partition still has the same owner.
     ReleaseFence,
-    /// A task that must not be repeated is not tried again when it was lost.
+    /// A task that is not repeatable does not run again after it was lost.
     RepeatOnlyIfAllowed,
-    /// A partition's quota counts attempts that are not committed yet.
+    /// A quota check counts attempts that are not committed yet.
     QuotaPending,
     /// Late and repeated batches of peers are dropped.
     PeerOrder,
-    /// The bundle in force is replaced by a later one only.
+    /// The bundle in force is replaced only by one with a higher version.
     BundleRises,
 }
 
@@ -46,7 +46,7 @@
         Self::BundleRises,
     ];
 
-    /// Name used on the command line.
+    /// Returns the name used on the command line.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::WorkerFence => "worker-fence",
@@ -65,7 +65,7 @@
     }
 }
 
-/// The guards in force: all of them, unless a check takes one away.
+/// The guards in force: all of them, unless a check disables one.
 ///
 /// # Examples
 ///
@@ -82,13 +82,13 @@
 }
 
 impl GuardSet {
-    /// All guards but one.
+    /// Returns all guards but one.
     pub fn without(name: GuardName) -> Self {
         let disabled = Some(name);
         Self { disabled }
     }
 
-    /// Tells whether a guard is in force.
+    /// Returns whether a guard is in force.
     pub fn enforces(self, name: GuardName) -> bool {
         self.disabled != Some(name)
     }
--- a/crates/bankvalve_cell/src/owner/owner_context.rs
+++ b/crates/bankvalve_cell/src/owner/owner_context.rs
@@ -1,4 +1,4 @@
-//! What an owner is given for each step, and what it asks to be done.
+//! Input of each step of a partition's owner, and the actions that it requests.
 
 use super::{CellTimings, GuardSet};
 use crate::contract::CellBundle;
@@ -7,24 +7,24 @@
 use crate::membership::WorkerRoster;
 use crate::tally::CellTally;
 
-/// Something that an owner asks to be done.
+/// An action that a partition's owner requests.
 #[derive(Clone, Debug, PartialEq)]
 pub enum OwnerAction {
-    /// Say something to the owner of a worker partition.
+    /// Send a message to the owner of a worker partition.
     ToWorkerPartition {
         /// The partition.
         partition: PartitionIndex,
         /// The message.
         message: PeerMessage,
     },
-    /// Say something to the owner of a team partition.
+    /// Send a message to the owner of a team partition.
     ToTeamPartition {
         /// The partition.
         partition: PartitionIndex,
         /// The message.
         message: PeerMessage,
     },
-    /// Exchange with a worker.
+    /// Start an exchange with a worker.
     Exchange {
         /// Partition of the worker.
         partition: PartitionIndex,
@@ -32,57 +32,57 @@
         worker: WorkerName,
         /// Base URL of its API.
         address: String,
-        /// What to say.
+        /// The exchange.
         exchange: WorkerExchange,
     },
     /// Answer a caller.
     Answer {
-        /// Instance that the caller spoke to.
+        /// Instance that received the caller's command.
         origin: InstanceName,
         /// Ticket at that instance.
         ticket: Ticket,
         /// The answer.
         answer: CallerAnswer,
     },
-    /// Record the workers of a partition.
+    /// Write the roster row of a partition.
     WriteRoster {
         /// The partition.
         partition: PartitionIndex,
-        /// Its workers.
+        /// The roster.
         roster: WorkerRoster,
     },
 }
 
-/// What an owner is given for a step.
+/// Input and output of a step of a partition's owner.
 pub struct OwnerContext<'a> {
-    /// The time.
+    /// The time, by the instance's monotonic clock.
     pub now: CellTime,
-    /// The wall clock, for the record only.
+    /// The wall-clock time; written to the ledger, used for no decision.
     pub wall: UnixMillis,
-    /// Times that govern the cell.
+    /// Timings of the cell.
     pub timings: &'a CellTimings,
-    /// Guards in force.
+    /// The guards in force.
     pub guards: GuardSet,
-    /// Bundle in force.
+    /// The bundle in force.
     pub bundle: &'a CellBundle,
     /// Counters.
     pub tally: &'a mut CellTally,
-    /// What is to be done.
+    /// Actions requested so far.
     pub actions: &'a mut Vec<OwnerAction>,
 }
 
 impl OwnerContext<'_> {
-    /// Asks for something to be done.
+    /// Requests an action.
     pub fn push_action(&mut self, action: OwnerAction) {
         self.actions.push(action);
     }
 
-    /// Says something to the owner of a team partition.
+    /// Sends a message to the owner of a team partition.
     pub fn send_to_team_owner(&mut self, partition: PartitionIndex, message: PeerMessage) {
         self.push_action(OwnerAction::ToTeamPartition { partition, message });
     }
 
-    /// Says something to the owner of a worker partition.
+    /// Sends a message to the owner of a worker partition.
     pub fn send_to_worker_owner(&mut self, partition: PartitionIndex, message: PeerMessage) {
         self.push_action(OwnerAction::ToWorkerPartition { partition, message });
     }
--- a/crates/bankvalve_cell/src/owner/worker/digest.rs
+++ b/crates/bankvalve_cell/src/owner/worker/digest.rs
@@ -1,4 +1,4 @@
-//! Summaries of a worker partition for those who choose among partitions, and for people.
+//! Summaries of a worker partition: digests and endpoint lists for all instances, and views for operators.
 
 use std::collections::BTreeMap;
 
@@ -13,38 +13,38 @@
 use crate::machine::TaskSize;
 use crate::owner::OwnerContext;
 
-/// Digests after which what has not changed is told again.
-const REPEAT_EVERY: u32 = 10;
-/// Workers of a group whose free room is given one by one.
+/// Digest intervals after which an update is sent although nothing has changed.
+const FULL_UPDATE_EVERY: u32 = 10;
+/// Workers of a group whose free capacity the digest lists one by one.
 const LARGEST_COUNT: usize = 4;
 
 impl WorkerPartition {
-    /// What is due to be told of the partition to all instances.
+    /// Returns the updates about the partition that are due to be sent to all instances.
     ///
-    /// What has not changed is told again only now and then, for those who
-    /// missed it.
+    /// A digest or endpoint list that has not changed is sent again only every
+    /// `FULL_UPDATE_EVERY` digest intervals, for instances that missed it.
     pub fn due_updates(&mut self, ctx: &OwnerContext<'_>) -> Vec<PeerMessage> {
-        let mut news = Vec::new();
+        let mut updates = Vec::new();
         if ctx.now < self.digest_due || !self.has_roster() {
-            return news;
+            return updates;
         }
         self.digest_due = ctx.now + ctx.timings.digest;
-        let repeat = ctx.now >= self.next_full_update;
-        if repeat {
-            self.next_full_update = ctx.now + ctx.timings.digest * REPEAT_EVERY;
+        let send_all = ctx.now >= self.next_full_update;
+        if send_all {
+            self.next_full_update = ctx.now + ctx.timings.digest * FULL_UPDATE_EVERY;
         }
         self.digest_sequence += 1;
         let digest = self.digest();
-        let told = self.sent_groups == digest.groups && self.sent_queued == digest.queued;
-        if repeat || !told {
+        let already_sent = self.sent_groups == digest.groups && self.sent_queued == digest.queued;
+        if send_all || !already_sent {
             self.sent_groups = digest.groups.clone();
             self.sent_queued = digest.queued;
-            news.push(PeerMessage::Digest(digest));
+            updates.push(PeerMessage::Digest(digest));
         }
         let points = self.service_endpoints();
-        if repeat || points != self.sent_points {
+        if send_all || points != self.sent_points {
             self.sent_points = points.clone();
-            news.push(PeerMessage::Points(PartitionEndpoints {
+            updates.push(PeerMessage::Points(PartitionEndpoints {
                 partition: self.index,
                 epoch: self.epoch,
                 sequence: self.digest_sequence,
@@ -52,10 +52,10 @@
                 points,
             }));
         }
-        news
+        updates
     }
 
-    /// Summary of the partition as it stands.
+    /// Returns the digest of the partition's present state.
     pub fn digest(&self) -> PartitionDigest {
         PartitionDigest {
             partition: self.index,
@@ -67,7 +67,7 @@
         }
     }
 
-    /// How the partition's workers stand.
+    /// Returns the status of each worker of the partition.
     pub fn worker_views(&self, owner: &InstanceName) -> Vec<WorkerView> {
         let view = |worker_state: &WorkerState| WorkerView {
             detail: worker_state.detail.clone(),
@@ -80,7 +80,7 @@
         self.worker_states.values().map(view).collect()
     }
 
-    /// Workers that requests may be sent to.
+    /// Returns the workers that requests may be sent to.
     pub fn serving_workers(&self) -> Vec<OwnedWorker> {
         let serving =
             |worker_state: &&WorkerState| worker_state.fenced && !worker_state.declared_lost;
@@ -98,7 +98,7 @@
             .collect()
     }
 
-    /// Room reserved and room in all, summed over workers that answer.
+    /// Returns the reserved and the total capacity, summed over workers that are fenced and not lost.
     pub fn capacity_in_use(&self) -> (TaskSize, TaskSize) {
         let zero = (TaskSize::default(), TaskSize::default());
         self.worker_states
@@ -122,7 +122,7 @@
             let domain = worker_state.detail.domain.clone();
             groups.entry(domain).or_default().push(worker_state);
         }
-        let mut waiting = self
+        let mut queued_size = self
             .entries
             .values()
             .filter(|entry| entry.is_queued())
@@ -131,26 +131,26 @@
         groups
             .into_iter()
             .map(|(domain, worker_states)| {
-                let group = capacity_group(domain, &worker_states, waiting, &preemptible);
-                waiting = TaskSize::default();
+                let group = capacity_group(domain, &worker_states, queued_size, &preemptible);
+                queued_size = TaskSize::default();
                 group
             })
             .collect()
     }
 
     fn preemptible_by_worker(&self) -> BTreeMap<&str, TaskSize> {
-        let mut rooms = BTreeMap::<&str, TaskSize>::new();
+        let mut capacities = BTreeMap::<&str, TaskSize>::new();
         for entry in self.entries.values().filter(|entry| entry.is_preemptible()) {
             if let Some(worker) = entry.worker.as_deref() {
-                let room = rooms.entry(worker).or_default();
-                *room = room.plus(entry.label.size);
+                let capacity = capacities.entry(worker).or_default();
+                *capacity = capacity.plus(entry.label.size);
             }
         }
-        rooms
+        capacities
     }
 
     fn service_endpoints(&self) -> Vec<ServiceEndpoint> {
-        let point = |entry: &PlacementEntry| {
+        let endpoint = |entry: &PlacementEntry| {
             let service = entry.label.service.clone()?;
             let worker_state = self.worker_states.get(entry.worker.as_ref()?)?;
             let serves = entry.phase == super::placement_entry::PlacementPhase::Running;
@@ -164,38 +164,38 @@
                 domain: worker_state.detail.domain.clone(),
             })
         };
-        self.entries.values().filter_map(point).collect()
+        self.entries.values().filter_map(endpoint).collect()
     }
 }
 
 fn capacity_group(
     domain: DomainName,
     worker_states: &[&WorkerState],
-    waiting: TaskSize,
+    queued_size: TaskSize,
     preemptible: &BTreeMap<&str, TaskSize>,
 ) -> CapacityGroup {
-    let mut rooms: Vec<TaskSize> = worker_states
+    let mut capacities: Vec<TaskSize> = worker_states
         .iter()
         .map(|worker_state| worker_state.free())
         .collect();
-    rooms.sort_by(|a, b| b.cmp(a));
-    let free = rooms
+    capacities.sort_by(|a, b| b.cmp(a));
+    let free = capacities
         .iter()
-        .fold(TaskSize::default(), |sum, room| sum.plus(*room));
+        .fold(TaskSize::default(), |sum, capacity| sum.plus(*capacity));
     let mut classes: Vec<TaskSize> = worker_states
         .iter()
         .map(|worker_state| worker_state.detail.size)
         .collect();
     classes.sort();
     classes.dedup();
-    let taken =
+    let preemptible_on =
         |worker_state: &&WorkerState| preemptible.get(worker_state.detail.name.as_str()).copied();
     let mut with_preemption: Vec<TaskSize> = worker_states
         .iter()
         .map(|worker_state| {
             worker_state
                 .free()
-                .plus(taken(worker_state).unwrap_or_default())
+                .plus(preemptible_on(worker_state).unwrap_or_default())
         })
         .collect();
     with_preemption.sort_by(|a, b| b.cmp(a));
@@ -203,8 +203,8 @@
     CapacityGroup {
         domain,
         workers: worker_states.len() as u32,
-        free: free.minus(waiting),
-        largest: rooms.into_iter().take(LARGEST_COUNT).collect(),
+        free: free.minus(queued_size),
+        largest: capacities.into_iter().take(LARGEST_COUNT).collect(),
         preemptible: with_preemption,
         classes,
     }
--- a/crates/bankvalve_cell/src/owner/worker/exchange.rs
+++ b/crates/bankvalve_cell/src/owner/worker/exchange.rs
@@ -1,4 +1,4 @@
-//! Exchanges with workers: fence, ask, renew, command, and what the reports tell.
+//! Exchanges with workers, which fence them, renew leases and send commands, and handling of their reports.
 
 use super::placement_entry::{PlacementEntry, PlacementPhase};
 use super::worker_state::OpenExchange;
@@ -13,9 +13,9 @@
 use crate::refusal::{RefusalReason, RetryReason};
 use crate::tally::InvariantKind;
 
-/// Reports in a row with more memory in use than declared, after which a task is stopped.
+/// Consecutive reports with more memory in use than declared after which a task is stopped.
 const OVERRUN_LIMIT: u32 = 3;
-/// Share of its declared processors that an overshooting task is held to, in percent.
+/// Limit for a task that uses more processor time than it declared, in percent of its declaration.
 const THROTTLE_PERCENT: u8 = 100;
 
 impl WorkerPartition {
@@ -35,7 +35,7 @@
         }
     }
 
-    /// Takes a worker's answer, or the lack of one.
+    /// Handles a worker's answer, or the failure to get one.
     pub fn handle_answer(
         &mut self,
         worker: &str,
@@ -78,22 +78,22 @@
         let epoch = self.epoch;
         let worker_state = self.worker_states.get_mut(worker).expect("listed");
         let token = worker_state.next_token(epoch);
-        let commands_too = worker_state.fenced
+        let may_command = worker_state.fenced
             && !worker_state.declared_lost
             && worker_state.can_renew(ctx.now, ctx.timings);
-        let lease = worker_state.lease.filter(|_| commands_too);
+        let lease = worker_state.lease.filter(|_| may_command);
         worker_state.open = Some(OpenExchange {
             token,
             sent_at: ctx.now,
         });
         worker_state.next_exchange = ctx.now + ctx.timings.worker_heartbeat;
         let address = worker_state.detail.address.clone();
-        let incarnation = worker_state.incarnation.filter(|_| commands_too);
+        let incarnation = worker_state.incarnation.filter(|_| may_command);
         let leaving = worker_state.is_leaving();
         if leaving {
             self.requeue_unsent(worker, ctx);
         }
-        let commands = if commands_too {
+        let commands = if may_command {
             self.commands_for(worker, leaving, ctx)
         } else {
             Vec::new()
@@ -112,7 +112,7 @@
         });
     }
 
-    /// Puts what was never sent to a worker that now leaves back in line.
+    /// Requeues the attempts that were assigned to a worker but never sent to it; the worker is now leaving.
     fn requeue_unsent(&mut self, worker: &str, ctx: &mut OwnerContext<'_>) {
         let unsent: Vec<TaskId> = self
             .entries
@@ -141,12 +141,13 @@
         for entry in here {
             match &mut entry.phase {
                 PlacementPhase::Starting { sent } => {
-                    let fresh = !*sent;
+                    let first_time = !*sent;
                     *sent = true;
-                    ctx.tally
-                        .assert(InvariantKind::LeavingUntouched, !(fresh && leaving), || {
-                            format!("{} started on {worker}, which leaves", entry.key)
-                        });
+                    ctx.tally.assert(
+                        InvariantKind::LeavingUntouched,
+                        !(first_time && leaving),
+                        || format!("{} started on {worker}, which is leaving", entry.key),
+                    );
                     commands.push(start_command(entry));
                 }
                 PlacementPhase::Stopping { outcome } => {
@@ -219,8 +220,8 @@
             self.handle_held(worker, held, ctx);
         }
         self.handle_missing(worker, report, ctx);
-        let busy = self.has_commands(worker);
-        if busy || !was_ready {
+        let has_commands_to_send = self.has_commands(worker);
+        if has_commands_to_send || !was_ready {
             self.make_exchange_due(Some(worker), ctx.now);
         }
         self.place_waiting(ctx);
@@ -264,7 +265,7 @@
         }
     }
 
-    /// Takes in a task that an earlier owner had started.
+    /// Adds an entry for a task that a worker reports and that an earlier owner started.
     fn adopt(&mut self, worker: &str, held: &HeldTask, ctx: &mut OwnerContext<'_>) {
         let id = held.key.id();
         self.drop_entry(&id);
@@ -279,13 +280,13 @@
         }
     }
 
-    /// Ends a held task that is not the one known here.
+    /// Queues a command that stops or forgets a reported task that does not match the entry here.
     fn end_unknown_task(&mut self, worker: &str, held: &HeldTask, ctx: &mut OwnerContext<'_>) {
         let running = held.phase == HeldPhase::Running;
         let known = self.entries.get(&held.key.id());
         ctx.tally.assert(InvariantKind::SinglePlace, !running, || {
             let place = known.and_then(|entry| entry.worker.clone());
-            format!("{} runs on {worker} but is known on {place:?}", held.key)
+            format!("{} runs on {worker} but is assigned to {place:?}", held.key)
         });
         let key = held.key.clone();
         let command = if running {
@@ -327,7 +328,7 @@
             }
             PlacementPhase::Over(_) | PlacementPhase::Recorded => {
                 ctx.tally.assert(InvariantKind::SinglePlace, false, || {
-                    format!("{} runs although it is over", held.key)
+                    format!("{} runs although it has finished", held.key)
                 });
                 let outcome = TaskOutcome::Cancelled;
                 self.set_phase(id, PlacementPhase::Stopping { outcome });
@@ -366,7 +367,7 @@
         self.finish_entry(id, status, ctx);
     }
 
-    /// Settles entries that the worker does not hold although it answered.
+    /// Handles entries of a worker that are missing from its report.
     fn handle_missing(&mut self, worker: &str, report: &WorkerReport, ctx: &mut OwnerContext<'_>) {
         let missing: Vec<TaskId> = self
             .entries
@@ -381,8 +382,9 @@
                 PlacementPhase::Running => {
                     self.finish_entry(&id, PlacementStatus::Lost, ctx);
                 }
-                // The report outranks every command that was sent before it,
-                // so a start that is not in it was not taken.
+                // The report answers the latest token, and the worker refuses
+                // older ones. A start command that was sent before and that the
+                // report does not show can therefore no longer take effect.
                 PlacementPhase::Stopping { .. } => {
                     let status = if entry.seen_running {
                         PlacementStatus::Lost
--- a/crates/bankvalve_cell/src/owner/worker/mod.rs
+++ b/crates/bankvalve_cell/src/owner/worker/mod.rs
@@ -1,4 +1,4 @@
-//! Owner of a worker partition: the only one that speaks to its workers.
+//! Owner of a worker partition: the only instance that sends commands to its workers.
 
 mod digest;
 mod exchange;
--- a/crates/bankvalve_cell/src/owner/worker/orders.rs
+++ b/crates/bankvalve_cell/src/owner/worker/orders.rs
@@ -1,4 +1,4 @@
-//! Orders of the teams' owners: place an attempt, end one, forget one.
+//! Orders from the owners of team partitions: place an attempt, withdraw it, forget it.
 
 use super::placement_entry::{PlacementEntry, PlacementPhase};
 use super::worker_state::WorkerState;
@@ -11,13 +11,13 @@
 use crate::refusal::RefusalReason;
 use crate::tally::InvariantKind;
 
-/// Attempts that a partition's queue takes for each worker.
+/// Attempts that a partition's queue accepts for each worker.
 const QUEUE_PER_WORKER: usize = 6;
-/// Attempts that a partition's queue takes besides.
+/// Attempts that a partition's queue accepts in addition, whatever the number of workers.
 const QUEUE_BASE: usize = 24;
 
 impl WorkerPartition {
-    /// Takes an order to place an attempt.
+    /// Handles an order to place an attempt.
     pub fn place(&mut self, order: PlaceOrder, ctx: &mut OwnerContext<'_>) {
         let team_partition = order.label.team_partition;
         if !self.admit_team_epoch(team_partition, order.team_epoch, ctx) {
@@ -33,14 +33,17 @@
                 ctx.tally.refuse(RefusalReason::StaleEpoch);
                 return;
             }
-            let over = matches!(
+            let finished = matches!(
                 entry.phase,
                 PlacementPhase::Over(_) | PlacementPhase::Recorded
             );
-            ctx.tally.assert(InvariantKind::SinglePlace, over, || {
-                format!("{} ordered while {} is held", order.key, entry.key)
+            ctx.tally.assert(InvariantKind::SinglePlace, finished, || {
+                format!(
+                    "{} was ordered while {} has not finished",
+                    order.key, entry.key
+                )
             });
-            if !over {
+            if !finished {
                 return;
             }
             self.drop_entry(&id);
@@ -53,7 +56,7 @@
         self.enqueue(order, ctx);
     }
 
-    /// Takes an order to end an attempt.
+    /// Handles an order to withdraw an attempt.
     pub fn withdraw(&mut self, request: PeerMessage, ctx: &mut OwnerContext<'_>) {
         let PeerMessage::Withdraw {
             team_epoch,
@@ -91,7 +94,7 @@
         self.answer_for_earlier_epoch(key, team_partition, started_on.as_ref(), ctx);
     }
 
-    /// Takes word that the end of an attempt is recorded.
+    /// Handles the message that the end of an attempt is committed to the ledger.
     pub fn end_recorded(&mut self, key: &TaskKey, ctx: &mut OwnerContext<'_>) {
         let id = key.id();
         let Some(entry) = self.entries.get_mut(&id) else {
@@ -113,7 +116,7 @@
         }
     }
 
-    /// Says how an attempt that is not kept stands.
+    /// Sends the status of an attempt that has no entry here.
     pub(super) fn send_status_of(
         &self,
         key: TaskKey,
@@ -188,7 +191,7 @@
         }
     }
 
-    /// Keeps and says the end of an attempt that never was in the partition.
+    /// Adds a finished entry for an attempt that has none here, and sends its status.
     pub(super) fn record_finished(
         &mut self,
         key: TaskKey,
@@ -199,16 +202,17 @@
         self.last_order += 1;
         let id = key.id();
         let phase = PlacementPhase::Over(status);
-        let label = blank_label(team_partition);
+        let label = empty_label(team_partition);
         let entry = PlacementEntry::found(key, label, phase, ctx.now, self.last_order);
         self.entries.insert(id.clone(), entry);
         self.send_status(&id, ctx);
     }
 
-    /// Answers for an attempt whose intent was recorded for an earlier owner.
+    /// Answers for an attempt whose intent was committed for an earlier owner's epoch.
     ///
-    /// Once every worker that it may run on has answered under this epoch
-    /// and none holds it, it runs nowhere and never will.
+    /// Once every worker that may run the attempt has answered under this
+    /// epoch, or was declared lost, and none of them reports it, the attempt
+    /// runs nowhere and never will.
     pub(super) fn answer_for_earlier_epoch(
         &mut self,
         key: TaskKey,
@@ -216,15 +220,15 @@
         started_on: Option<&WorkerName>,
         ctx: &mut OwnerContext<'_>,
     ) {
-        let settled =
+        let cannot_run_it =
             |worker_state: &WorkerState| worker_state.fenced || worker_state.declared_lost;
         let known = match started_on {
-            Some(worker) => self.worker_states.get(worker).is_none_or(settled),
+            Some(worker) => self.worker_states.get(worker).is_none_or(cannot_run_it),
             None => self
                 .worker_states
                 .values()
                 .filter(|worker_state| worker_state.in_roster)
-                .all(settled),
+                .all(cannot_run_it),
         };
         if known || !ctx.guards.enforces(GuardName::WorkerFence) {
             self.record_finished(key, team_partition, PlacementStatus::Lost, ctx);
@@ -261,7 +265,7 @@
     }
 }
 
-fn blank_label(team_partition: PartitionIndex) -> TaskLabel {
+fn empty_label(team_partition: PartitionIndex) -> TaskLabel {
     TaskLabel {
         team_partition,
         size: Default::default(),
--- a/crates/bankvalve_cell/src/owner/worker/placement.rs
+++ b/crates/bankvalve_cell/src/owner/worker/placement.rs
@@ -1,4 +1,4 @@
-//! Placement of waiting attempts on workers, and preemption for urgent ones.
+//! Placement of queued attempts on workers, and preemption for urgent ones.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -19,12 +19,12 @@
 use crate::refusal::{RefusalReason, RetryReason};
 use crate::tally::InvariantKind;
 
-/// Wait after which the first attempt in line has a worker kept free for it.
-const KEEP_FREE_AFTER: Duration = Duration::from_secs(3);
-/// Time after which a preemption that made no room is tried again.
-const PREEMPT_AGAIN: Duration = Duration::from_secs(2);
+/// Time that an attempt must have been known before a worker is reserved for it, one worker at a time.
+const RESERVE_WORKER_AFTER: Duration = Duration::from_secs(3);
+/// Time after which tasks are preempted again for an attempt that is still queued.
+const PREEMPT_RETRY_AFTER: Duration = Duration::from_secs(2);
 
-/// Tasks of one job that the partition holds, by failure domain and rack.
+/// Number of tasks of one job in the partition, by failure domain and rack.
 #[derive(Default)]
 struct JobSpread {
     domains: BTreeMap<String, u32>,
@@ -32,29 +32,35 @@
 }
 
 impl WorkerPartition {
-    /// Places what waits, in order, as far as there is room.
+    /// Places queued attempts, in order, as far as there is free capacity.
+    ///
+    /// The first attempt that is not urgent, fits nowhere and has waited longer than
+    /// `RESERVE_WORKER_AFTER` reserves a worker: smaller attempts behind it would
+    /// otherwise take the capacity that it needs.
     pub(super) fn place_waiting(&mut self, ctx: &mut OwnerContext<'_>) {
-        let line = self.waiting_line();
-        if line.is_empty() {
+        let queued_ids = self.queued_in_order();
+        if queued_ids.is_empty() {
             return;
         }
-        let mut kept_free: Option<WorkerName> = None;
-        for id in line {
-            if let Some(worker) = self.choose_worker(&id, kept_free.as_deref(), ctx) {
+        let mut reserved_worker: Option<WorkerName> = None;
+        for id in queued_ids {
+            if let Some(worker) = self.choose_worker(&id, reserved_worker.as_deref(), ctx) {
                 self.assign_worker(&id, &worker, ctx);
                 continue;
             }
             let entry = &self.entries[&id];
             if entry.label.urgent {
                 self.preempt_for(&id, ctx);
-            } else if kept_free.is_none() && ctx.now > entry.arrived + KEEP_FREE_AFTER {
-                kept_free = self.worker_to_keep_free(&id);
+            } else if reserved_worker.is_none()
+                && ctx.now > entry.known_since + RESERVE_WORKER_AFTER
+            {
+                reserved_worker = self.worker_to_reserve(&id);
             }
         }
     }
 
-    /// Waiting attempts: urgent first, then by the team's share in use, then by arrival.
-    fn waiting_line(&self) -> Vec<TaskId> {
+    /// Returns the queued attempts: urgent first, then by the team's share in use, then by arrival.
+    fn queued_in_order(&self) -> Vec<TaskId> {
         let mut queued = self.entries.iter().filter(|(_, entry)| entry.is_queued());
         let first = queued.next();
         if queued.next().is_none() {
@@ -101,7 +107,7 @@
     fn choose_worker(
         &self,
         id: &TaskId,
-        kept_free: Option<&str>,
+        reserved_worker: Option<&str>,
         ctx: &OwnerContext<'_>,
     ) -> Option<WorkerName> {
         let entry = &self.entries[id];
@@ -110,8 +116,12 @@
         for worker_state in self.worker_states.values() {
             let fits = !ctx.guards.enforces(GuardName::OwnerCapacity)
                 || entry.label.size.fits_in(worker_state.free());
-            let kept = Some(worker_state.detail.name.as_str()) == kept_free;
-            if kept || !fits || !worker_state.accepts_tasks() || !admitted(entry, worker_state) {
+            let is_reserved = Some(worker_state.detail.name.as_str()) == reserved_worker;
+            if is_reserved
+                || !fits
+                || !worker_state.accepts_tasks()
+                || !rules_admit(entry, worker_state)
+            {
                 continue;
             }
             let score = self.score_of(entry, worker_state, &spread);
@@ -167,7 +177,7 @@
             same_domain: here + u32::from(service && !preferred),
             same_rack: spread.racks.get(&detail.rack).copied().unwrap_or(0),
             service,
-            random_unit: draw_for(entry, &detail.name),
+            random_unit: random_unit_for(entry, &detail.name),
         };
         self.policy.score_worker(&view)
     }
@@ -187,7 +197,12 @@
             ctx.tally.assert(
                 InvariantKind::GangTogether,
                 gate == PlaceGate::Start,
-                || format!("{} starts before its gang holds room", entry.key),
+                || {
+                    format!(
+                        "{} starts before all of its gang has reserved capacity",
+                        entry.key
+                    )
+                },
             );
             PlacementPhase::Starting { sent: false }
         };
@@ -200,19 +215,19 @@
         }
     }
 
-    /// Stops the cheapest batch tasks of one worker to make room for an urgent attempt.
+    /// Stops the batch tasks of one worker that lose the least work, to free capacity for an urgent attempt.
     fn preempt_for(&mut self, id: &TaskId, ctx: &mut OwnerContext<'_>) {
         let entry = &self.entries[id];
         if entry
-            .preempting
-            .is_some_and(|since| ctx.now < since + PREEMPT_AGAIN)
+            .preempted_at
+            .is_some_and(|since| ctx.now < since + PREEMPT_RETRY_AFTER)
         {
             return;
         }
         let need = entry.label.size;
         let mut best: Option<(f64, WorkerName, Vec<TaskId>)> = None;
         for worker_state in self.worker_states.values() {
-            if !worker_state.accepts_tasks() || !admitted(entry, worker_state) {
+            if !worker_state.accepts_tasks() || !rules_admit(entry, worker_state) {
                 continue;
             }
             let victims = self.victims_on(&worker_state.detail.name);
@@ -227,7 +242,7 @@
             ctx.tally.refuse(RefusalReason::NoRoom);
             return;
         };
-        self.entries.get_mut(id).expect("waiting").preempting = Some(ctx.now);
+        self.entries.get_mut(id).expect("waiting").preempted_at = Some(ctx.now);
         for victim in victims {
             let outcome = TaskOutcome::Preempted;
             self.set_phase(&victim, PlacementPhase::Stopping { outcome });
@@ -250,31 +265,31 @@
             .collect()
     }
 
-    /// The worker that will have room for a waiting attempt with the least more to be freed.
-    fn worker_to_keep_free(&self, id: &TaskId) -> Option<WorkerName> {
+    /// Returns the worker that lacks the least capacity, relative to its size, for a queued attempt.
+    fn worker_to_reserve(&self, id: &TaskId) -> Option<WorkerName> {
         let entry = &self.entries[id];
         let need = entry.label.size;
-        let lacking = |worker_state: &WorkerState| {
+        let missing_share = |worker_state: &WorkerState| {
             need.minus(worker_state.free())
                 .share_of(worker_state.detail.size)
         };
         self.worker_states
             .values()
-            .filter(|worker_state| worker_state.accepts_tasks() && admitted(entry, worker_state))
+            .filter(|worker_state| worker_state.accepts_tasks() && rules_admit(entry, worker_state))
             .filter(|worker_state| need.fits_in(worker_state.detail.size))
-            .min_by(|a, b| lacking(a).total_cmp(&lacking(b)))
+            .min_by(|a, b| missing_share(a).total_cmp(&missing_share(b)))
             .map(|worker_state| worker_state.detail.name.clone())
     }
 }
 
-fn admitted(entry: &PlacementEntry, worker_state: &WorkerState) -> bool {
+fn rules_admit(entry: &PlacementEntry, worker_state: &WorkerState) -> bool {
     let rules: &[PlaceRule] = entry.need.as_ref().map_or(&[], |need| &need.rules);
     rules
         .iter()
         .all(|rule| rule.admits_worker(&worker_state.detail))
 }
 
-/// A number in `0..1` that is the same for the same attempt and worker.
-fn draw_for(entry: &PlacementEntry, worker: &str) -> f64 {
+/// Returns a number in `0..1` that is always the same for the same attempt and worker.
+fn random_unit_for(entry: &PlacementEntry, worker: &str) -> f64 {
     (xxh3_64_with_seed(worker.as_bytes(), entry.order) >> 11) as f64 / (1_u64 << 53) as f64
 }
--- a/crates/bankvalve_cell/src/owner/worker/placement_entry.rs
+++ b/crates/bankvalve_cell/src/owner/worker/placement_entry.rs
@@ -1,4 +1,4 @@
-//! An attempt that a worker partition's owner knows of.
+//! The entry that a worker partition's owner has for an attempt.
 
 use crate::contract::PlaceRule;
 use crate::ids::{CellTime, DomainName, WorkerName};
@@ -8,23 +8,23 @@
 /// Phase of an attempt in a worker partition.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) enum PlacementPhase {
-    /// Waits for room; nothing was started.
+    /// Waits for free capacity; nothing was started.
     Queued,
-    /// Room is held on the worker; nothing was started.
+    /// Capacity is reserved on the worker until a time; nothing was started.
     Held { until: CellTime },
-    /// To be started on the worker; `sent` once it may have been.
+    /// Assigned to the worker; `sent` is set once a start command may have reached it.
     Starting { sent: bool },
-    /// Seen running on the worker.
+    /// Reported as running by the worker.
     Running,
-    /// To be stopped on the worker.
+    /// Being stopped on the worker.
     Stopping { outcome: TaskOutcome },
-    /// Over, until its team's owner has recorded it.
+    /// Finished; the team's owner has not committed the end yet.
     Over(PlacementStatus),
-    /// Over and recorded; the worker is to forget it.
+    /// Finished, and the end is committed; the worker is to forget it.
     Recorded,
 }
 
-/// What an order said of an attempt that has not been started.
+/// What a placement order requires of an attempt that has not been started.
 #[derive(Clone, Debug)]
 pub(super) struct PlacementNeed {
     pub(super) rules: Vec<PlaceRule>,
@@ -35,7 +35,7 @@
     pub(super) payload: String,
 }
 
-/// An attempt that a worker partition's owner knows of.
+/// An attempt in a worker partition.
 #[derive(Clone, Debug)]
 pub(super) struct PlacementEntry {
     pub(super) key: TaskKey,
@@ -43,7 +43,7 @@
     pub(super) need: Option<PlacementNeed>,
     pub(super) phase: PlacementPhase,
     pub(super) worker: Option<WorkerName>,
-    pub(super) arrived: CellTime,
+    pub(super) known_since: CellTime,
     pub(super) order: u64,
     pub(super) send_at: Option<CellTime>,
     pub(super) peak: TaskSize,
@@ -51,11 +51,11 @@
     pub(super) ran_ms: u64,
     pub(super) overran: u32,
     pub(super) throttled: bool,
-    pub(super) preempting: Option<CellTime>,
+    pub(super) preempted_at: Option<CellTime>,
 }
 
 impl PlacementEntry {
-    /// An attempt that was just ordered.
+    /// Makes the entry for a new placement order.
     pub(super) fn ordered(order: PlaceOrder, now: CellTime, number: u64) -> Self {
         let need = PlacementNeed {
             rules: order.rules,
@@ -71,7 +71,7 @@
         }
     }
 
-    /// An attempt that is known without an order.
+    /// Makes an entry for an attempt that has no placement order here.
     pub(super) fn found(
         key: TaskKey,
         label: TaskLabel,
@@ -85,7 +85,7 @@
             need: None,
             phase,
             worker: None,
-            arrived: now,
+            known_since: now,
             order: number,
             send_at: None,
             peak: TaskSize::default(),
@@ -93,11 +93,11 @@
             ran_ms: 0,
             overran: 0,
             throttled: false,
-            preempting: None,
+            preempted_at: None,
         }
     }
 
-    /// Tells whether it takes room on its worker.
+    /// Returns whether the attempt uses capacity of its worker.
     pub(super) fn uses_capacity(&self) -> bool {
         matches!(
             self.phase,
@@ -108,12 +108,12 @@
         )
     }
 
-    /// Tells whether it waits for room.
+    /// Returns whether the attempt waits for free capacity.
     pub(super) fn is_queued(&self) -> bool {
         self.phase == PlacementPhase::Queued
     }
 
-    /// Tells whether it has a worker that was not told of it yet.
+    /// Returns whether the attempt is assigned to a worker that has not been sent a start command yet.
     pub(super) fn is_unsent(&self) -> bool {
         matches!(
             self.phase,
@@ -121,7 +121,7 @@
         )
     }
 
-    /// Tells whether it may be stopped for urgent work.
+    /// Returns whether the attempt may be stopped for urgent work.
     pub(super) fn is_preemptible(&self) -> bool {
         let label = &self.label;
         self.phase == PlacementPhase::Running
--- a/crates/bankvalve_cell/src/owner/worker/worker_partition.rs
+++ b/crates/bankvalve_cell/src/owner/worker/worker_partition.rs
@@ -1,4 +1,4 @@
-//! State of a worker partition and the messages that change it.
+//! State of a worker partition and its periodic work.
 
 use std::collections::BTreeMap;
 
@@ -33,17 +33,17 @@
     pub(super) sent_queued: u32,
     pub(super) sent_points: Vec<ServiceEndpoint>,
     pub(super) superseded: bool,
-    /// What to say of tasks that workers hold but that are not known here.
+    /// Commands for tasks that workers report but that do not match an entry here.
     pub(super) unknown_task_commands: BTreeMap<WorkerName, Vec<WorkerCommand>>,
     pub(super) team_epochs: BTreeMap<PartitionIndex, Epoch>,
     roster: Option<WorkerRoster>,
     roster_version: RowVersion,
-    roster_writing: Option<WorkerRoster>,
+    roster_in_flight: Option<WorkerRoster>,
     pub(super) last_order: u64,
 }
 
 impl WorkerPartition {
-    /// Takes a partition over; its roster must be given next.
+    /// Makes the state of a partition that was just claimed; its roster must be set next.
     pub fn new(
         index: PartitionIndex,
         epoch: Epoch,
@@ -70,27 +70,27 @@
             team_epochs: BTreeMap::new(),
             roster: None,
             roster_version: 0,
-            roster_writing: None,
+            roster_in_flight: None,
             last_order: 0,
         }
     }
 
-    /// The owner's epoch.
+    /// Returns the owner's epoch.
     pub fn epoch(&self) -> Epoch {
         self.epoch
     }
 
-    /// Tells whether a worker has shown that a later owner exists.
+    /// Returns whether a worker has refused a token because it has seen one of a later owner.
     pub fn is_superseded(&self) -> bool {
         self.superseded
     }
 
-    /// Version of the roster's row, as last read or written.
+    /// Returns the version of the roster's row, as last read or written.
     pub fn roster_version(&self) -> RowVersion {
         self.roster_version
     }
 
-    /// Takes in the roster's row as read or written.
+    /// Sets the roster to the content of its row after a write took effect.
     pub fn handle_roster(&mut self, roster: WorkerRoster, version: RowVersion, now: CellTime) {
         for worker_state in self.worker_states.values_mut() {
             worker_state.in_roster = false;
@@ -105,28 +105,28 @@
         }
         self.roster = Some(roster);
         self.roster_version = version;
-        self.roster_writing = None;
+        self.roster_in_flight = None;
     }
 
-    /// Notes the version that the roster's row was read at.
+    /// Sets the version that the roster's row was read at.
     ///
-    /// The owner then writes the roster back: only a write tells that what
-    /// was read was the latest.
+    /// The owner then writes the roster back: only a conditional write proves
+    /// that the row that was read is the latest.
     pub fn set_roster_version(&mut self, version: RowVersion) {
         self.roster_version = version;
     }
 
-    /// Says that a write of the roster did not take effect.
+    /// Handles a write of the roster that did not take effect.
     pub fn roster_failed(&mut self) {
-        self.roster_writing = None;
+        self.roster_in_flight = None;
     }
 
-    /// Tells whether the roster has been read, so that the owner knows whom to fence.
+    /// Returns whether the roster is known, and with it the workers that must be fenced.
     pub fn has_roster(&self) -> bool {
         self.roster.is_some()
     }
 
-    /// Takes in the platform's instance list, reduced to this partition.
+    /// Updates the workers from the part of the platform's instance list that belongs to this partition.
     pub fn handle_list(&mut self, listed: &[ListedWorker], now: CellTime) {
         for worker_state in self.worker_states.values_mut() {
             worker_state.listed = None;
@@ -141,13 +141,13 @@
                 worker_state.detail = worker.detail.clone();
             }
         }
-        let gone =
+        let removable =
             |worker_state: &WorkerState| worker_state.listed.is_none() && !worker_state.in_roster;
         self.worker_states
-            .retain(|_, worker_state| !gone(worker_state));
+            .retain(|_, worker_state| !removable(worker_state));
     }
 
-    /// Drains a worker or undoes that; returns whether the worker is known.
+    /// Starts or cancels the drain of a worker; returns whether the worker is known.
     pub fn drain(&mut self, worker: &str, drain: bool, ctx: &mut OwnerContext<'_>) -> bool {
         let Some(roster) = &self.roster else {
             return false;
@@ -155,7 +155,7 @@
         if !self.worker_states.contains_key(worker) {
             return false;
         }
-        let mut roster = self.roster_writing.as_ref().unwrap_or(roster).clone();
+        let mut roster = self.roster_in_flight.as_ref().unwrap_or(roster).clone();
         roster.drained.retain(|name| name != worker);
         if drain {
             roster.drained.push(worker.to_owned());
@@ -164,7 +164,7 @@
         true
     }
 
-    /// Does what is due: exchanges, placements, messages that need repeating.
+    /// Does the periodic work that is due: exchanges, placements, repeated status messages.
     pub fn tick(&mut self, ctx: &mut OwnerContext<'_>) {
         if self.roster.is_none() {
             return;
@@ -187,7 +187,7 @@
         }
     }
 
-    /// What is known of a task, for diagnosis.
+    /// Describes what is known of a task, for diagnosis.
     pub fn describe(&self, id: &TaskId) -> Option<String> {
         let entry = self.entries.get(id)?;
         let worker_state = entry
@@ -219,14 +219,14 @@
         }
     }
 
-    /// Changes an entry's phase, keeping the worker's reservation in step.
+    /// Changes an entry's phase and updates the worker's reserved capacity to match.
     pub(super) fn set_phase(&mut self, id: &TaskId, phase: PlacementPhase) {
         let Some(entry) = self.entries.get_mut(id) else {
             return;
         };
-        let before = entry.uses_capacity();
+        let used_before = entry.uses_capacity();
         entry.phase = phase;
-        let after = entry.uses_capacity();
+        let uses_now = entry.uses_capacity();
         let Some(worker_state) = entry
             .worker
             .as_ref()
@@ -234,22 +234,22 @@
         else {
             return;
         };
-        if before && !after {
+        if used_before && !uses_now {
             worker_state.reserved = worker_state.reserved.minus(entry.label.size);
             worker_state.tasks -= 1;
-        } else if !before && after {
+        } else if !used_before && uses_now {
             worker_state.reserved = worker_state.reserved.plus(entry.label.size);
             worker_state.tasks += 1;
         }
     }
 
-    /// Forgets an entry and gives its room back.
+    /// Removes an entry and releases its capacity.
     pub(super) fn drop_entry(&mut self, id: &TaskId) {
         self.set_phase(id, PlacementPhase::Recorded);
         self.entries.remove(id);
     }
 
-    /// Marks an entry over and tells its team's owner.
+    /// Marks an entry finished and sends the status to its team's owner.
     pub(super) fn finish_entry(
         &mut self,
         id: &TaskId,
@@ -260,7 +260,7 @@
         self.send_status(id, ctx);
     }
 
-    /// Tells an entry's team's owner how it stands.
+    /// Sends the status of an entry to its team's owner.
     pub(super) fn send_status(&mut self, id: &TaskId, ctx: &mut OwnerContext<'_>) {
         let Some(entry) = self.entries.get_mut(id) else {
             return;
@@ -277,7 +277,7 @@
                 else {
                     return;
                 };
-                // Said again until the service's owner has moved the task.
+                // Repeated until the service's owner has moved the task.
                 let again = worker_state.is_leaving() && entry.label.service.is_some();
                 entry.send_at = again.then_some(ctx.now + ctx.timings.repeat);
                 PlacementStatus::Started {
@@ -303,7 +303,7 @@
     }
 
     pub(super) fn add_new_workers_to_roster(&mut self, ctx: &mut OwnerContext<'_>) {
-        if self.roster_writing.is_some()
+        if self.roster_in_flight.is_some()
             || self
                 .worker_states
                 .values()
@@ -313,40 +313,43 @@
         }
         let Some(roster) = &self.roster else { return };
         let mut roster = roster.clone();
-        let gone = |worker_state: &WorkerState| {
+        let removable = |worker_state: &WorkerState| {
             worker_state.listed.is_none() && worker_state.declared_lost
         };
-        let kept = self
+        let remaining = self
             .worker_states
             .values()
-            .filter(|worker_state| !gone(worker_state));
-        roster.workers = kept
+            .filter(|worker_state| !removable(worker_state));
+        roster.workers = remaining
             .map(|worker_state| worker_state.detail.clone())
             .collect();
         self.write_roster(roster, ctx);
     }
 
     pub(super) fn write_roster(&mut self, roster: WorkerRoster, ctx: &mut OwnerContext<'_>) {
-        self.roster_writing = Some(roster.clone());
+        self.roster_in_flight = Some(roster.clone());
         let partition = self.index;
         ctx.push_action(OwnerAction::WriteRoster { partition, roster });
     }
 
-    /// Gives up workers whose leases are surely over.
+    /// Declares workers lost whose leases are known to have expired.
     pub(super) fn declare_lost_workers(&mut self, ctx: &mut OwnerContext<'_>) {
         let lease_length = ctx.timings.worker_lease;
-        let never_reached = (ctx.timings.unattended + lease_length).mul_f64(1.0 + CLOCK_RATE_BOUND);
-        let unattended_until = self.claimed_at + never_reached;
+        // A worker that never answered may run tasks of the former owner. That owner may go on granting
+        // leases for `unattended` after the claim, and these leases then take their length to expire.
+        let former_owner_limit =
+            (ctx.timings.unattended + lease_length).mul_f64(1.0 + CLOCK_RATE_BOUND);
+        let former_owner_until = self.claimed_at + former_owner_limit;
         let mut unresponsive = Vec::new();
         for (name, worker_state) in &mut self.worker_states {
-            let over_at = match worker_state.lease {
+            let expires_at = match worker_state.lease {
                 Some(lease) if ctx.guards.enforces(GuardName::LeaseEnd) => {
                     lease.expires_by(lease_length)
                 }
                 Some(lease) => lease.received + ctx.timings.worker_heartbeat * 2,
-                None => unattended_until,
+                None => former_owner_until,
             };
-            if !worker_state.declared_lost && ctx.now > over_at {
+            if !worker_state.declared_lost && ctx.now > expires_at {
                 worker_state.declared_lost = true;
                 unresponsive.push(name.clone());
             }
@@ -357,7 +360,7 @@
         }
     }
 
-    /// Settles all tasks of a worker that surely runs none of them.
+    /// Requeues or declares lost all tasks of a worker that is known to run none of them.
     pub(super) fn release_tasks_of(&mut self, worker: &str, ctx: &mut OwnerContext<'_>) {
         let on_worker = |entry: &PlacementEntry| {
             entry.uses_capacity() && entry.worker.as_deref() == Some(worker)
@@ -377,7 +380,7 @@
         }
     }
 
-    /// Puts an attempt that was never sent back in line.
+    /// Puts an attempt that was never sent to its worker back into the queue.
     pub(super) fn requeue(&mut self, id: &TaskId) {
         self.set_phase(id, PlacementPhase::Queued);
         if let Some(entry) = self.entries.get_mut(id) {
@@ -398,7 +401,7 @@
         }
     }
 
-    /// Has the services' owners told when a worker begins or ceases to leave.
+    /// Schedules status messages to the owners of services when a worker starts or stops leaving.
     pub(super) fn report_leaving(&mut self, ctx: &mut OwnerContext<'_>) {
         let changed: Vec<WorkerName> = self
             .worker_states
@@ -422,7 +425,7 @@
 
     pub(super) fn expire_reservations(&mut self, ctx: &mut OwnerContext<'_>) {
         let now = ctx.now;
-        let lapsed: Vec<TaskId> = self
+        let expired: Vec<TaskId> = self
             .entries
             .iter()
             .filter(
@@ -430,7 +433,7 @@
             )
             .map(|(id, _)| id.clone())
             .collect();
-        for id in lapsed {
+        for id in expired {
             self.drop_entry(&id);
         }
     }
@@ -450,10 +453,10 @@
 
     pub(super) fn assert_capacity(&self, ctx: &mut OwnerContext<'_>) {
         for worker_state in self.worker_states.values() {
-            let holds = worker_state.reserved.fits_in(worker_state.detail.size);
-            ctx.tally.assert(InvariantKind::Capacity, holds, || {
+            let fits_size = worker_state.reserved.fits_in(worker_state.detail.size);
+            ctx.tally.assert(InvariantKind::Capacity, fits_size, || {
                 format!(
-                    "worker {} holds {} of {}",
+                    "worker {} has reserved {} of {}",
                     worker_state.detail.name, worker_state.reserved, worker_state.detail.size
                 )
             });
