--- a/crates/bankvalve_cell/src/owner/worker/mod.rs
+++ b/crates/bankvalve_cell/src/owner/worker/mod.rs
@@ -1,11 +1,11 @@
-//! Owner of a worker partition: the only one that speaks to its workers.
+//! Owner of a worker partition: the only instance that sends commands to its workers.
 
 mod digest;
 mod exchange;
 mod orders;
+mod placement;
 mod placement_entry;
-mod placing;
 mod worker_partition;
-mod worker_seat;
+mod worker_state;
 
 pub use worker_partition::WorkerPartition;
--- a/crates/bankvalve_cell/src/owner/worker/orders.rs
+++ b/crates/bankvalve_cell/src/owner/worker/orders.rs
@@ -1,7 +1,7 @@
-//! Orders of the teams' owners: place an attempt, end one, forget one.
+//! Orders from the owners of team partitions: place an attempt, withdraw it, forget it.
 
 use super::placement_entry::{PlacementEntry, PlacementPhase};
-use super::worker_seat::WorkerSeat;
+use super::worker_state::WorkerState;
 use super::WorkerPartition;
 use crate::ids::{Epoch, PartitionIndex, WorkerName};
 use crate::link::{
@@ -11,13 +11,13 @@
 use crate::refusal::RefusalReason;
 use crate::tally::InvariantKind;
 
-/// Attempts that a partition's queue takes for each worker.
+/// Attempts that a partition's queue accepts for each worker.
 const QUEUE_PER_WORKER: usize = 6;
-/// Attempts that a partition's queue takes besides.
+/// Attempts that a partition's queue accepts in addition, whatever the number of workers.
 const QUEUE_BASE: usize = 24;
 
 impl WorkerPartition {
-    /// Takes an order to place an attempt.
+    /// Handles an order to place an attempt.
     pub fn place(&mut self, order: PlaceOrder, ctx: &mut OwnerContext<'_>) {
         let team_partition = order.label.team_partition;
         if !self.admit_team_epoch(team_partition, order.team_epoch, ctx) {
@@ -33,14 +33,17 @@
                 ctx.tally.refuse(RefusalReason::StaleEpoch);
                 return;
             }
-            let over = matches!(
+            let finished = matches!(
                 entry.phase,
                 PlacementPhase::Over(_) | PlacementPhase::Recorded
             );
-            ctx.tally.assert(InvariantKind::SinglePlace, over, || {
-                format!("{} ordered while {} is held", order.key, entry.key)
+            ctx.tally.assert(InvariantKind::SinglePlace, finished, || {
+                format!(
+                    "{} was ordered while {} has not finished",
+                    order.key, entry.key
+                )
             });
-            if !over {
+            if !finished {
                 return;
             }
             self.drop_entry(&id);
@@ -53,7 +56,7 @@
         self.enqueue(order, ctx);
     }
 
-    /// Takes an order to end an attempt.
+    /// Handles an order to withdraw an attempt.
     pub fn withdraw(&mut self, request: PeerMessage, ctx: &mut OwnerContext<'_>) {
         let PeerMessage::Withdraw {
             team_epoch,
@@ -85,13 +88,13 @@
         }
         if intent_epoch == self.epoch {
             let status = PlacementStatus::NotRun(RefusalReason::NoRoom);
-            self.note_over(key, team_partition, status, ctx);
+            self.record_finished(key, team_partition, status, ctx);
             return;
         }
         self.answer_for_earlier_epoch(key, team_partition, started_on.as_ref(), ctx);
     }
 
-    /// Takes word that the end of an attempt is recorded.
+    /// Handles the message that the end of an attempt is committed to the ledger.
     pub fn end_recorded(&mut self, key: &TaskKey, ctx: &mut OwnerContext<'_>) {
         let id = key.id();
         let Some(entry) = self.entries.get_mut(&id) else {
@@ -105,16 +108,16 @@
         };
         if matches!(status, PlacementStatus::Ended { .. }) {
             entry.phase = PlacementPhase::Recorded;
-            entry.say_at = None;
+            entry.send_at = None;
             let worker = entry.worker.clone();
-            self.hasten(worker.as_deref(), ctx.now);
+            self.make_exchange_due(worker.as_deref(), ctx.now);
         } else {
             self.entries.remove(&id);
         }
     }
 
-    /// Says how an attempt that is not kept stands.
-    pub(super) fn say_of(
+    /// Sends the status of an attempt that has no entry here.
+    pub(super) fn send_status_of(
         &self,
         key: TaskKey,
         team_partition: PartitionIndex,
@@ -128,7 +131,7 @@
             key,
             status,
         };
-        ctx.tell_team(team_partition, message);
+        ctx.send_to_team_owner(team_partition, message);
     }
 
     pub(super) fn admit_team_epoch(
@@ -159,56 +162,57 @@
             need.gate = order.gate;
         }
         if let PlacementPhase::Held { until } = &mut entry.phase {
-            *until = ctx.now + ctx.timings.hold_lapse;
+            *until = ctx.now + ctx.timings.reservation_timeout;
             if order.gate == PlaceGate::Start {
                 let worker = entry.worker.clone();
                 self.set_phase(id, PlacementPhase::Starting { sent: false });
-                self.hasten(worker.as_deref(), ctx.now);
+                self.make_exchange_due(worker.as_deref(), ctx.now);
             }
         }
-        self.say(id, ctx);
+        self.send_status(id, ctx);
     }
 
     pub(super) fn enqueue(&mut self, order: PlaceOrder, ctx: &mut OwnerContext<'_>) {
-        let limit = QUEUE_BASE + QUEUE_PER_WORKER * self.seats.len();
+        let limit = QUEUE_BASE + QUEUE_PER_WORKER * self.worker_states.len();
         if self.queue_len() >= limit {
             ctx.tally.refuse(RefusalReason::QueueFull);
             let status = PlacementStatus::NotRun(RefusalReason::QueueFull);
             let team_partition = order.label.team_partition;
-            self.note_over(order.key, team_partition, status, ctx);
+            self.record_finished(order.key, team_partition, status, ctx);
             return;
         }
-        self.numbered += 1;
+        self.last_order += 1;
         let id = order.key.id();
-        let entry = PlacementEntry::ordered(order, ctx.now, self.numbered);
+        let entry = PlacementEntry::ordered(order, ctx.now, self.last_order);
         self.entries.insert(id.clone(), entry);
         self.place_waiting(ctx);
         if self.entries.get(&id).is_some_and(PlacementEntry::is_queued) {
-            self.say(&id, ctx);
+            self.send_status(&id, ctx);
         }
     }
 
-    /// Keeps and says the end of an attempt that never was in the partition.
-    pub(super) fn note_over(
+    /// Adds a finished entry for an attempt that has none here, and sends its status.
+    pub(super) fn record_finished(
         &mut self,
         key: TaskKey,
         team_partition: PartitionIndex,
         status: PlacementStatus,
         ctx: &mut OwnerContext<'_>,
     ) {
-        self.numbered += 1;
+        self.last_order += 1;
         let id = key.id();
         let phase = PlacementPhase::Over(status);
-        let label = blank_label(team_partition);
-        let entry = PlacementEntry::found(key, label, phase, ctx.now, self.numbered);
+        let label = empty_label(team_partition);
+        let entry = PlacementEntry::found(key, label, phase, ctx.now, self.last_order);
         self.entries.insert(id.clone(), entry);
-        self.say(&id, ctx);
+        self.send_status(&id, ctx);
     }
 
-    /// Answers for an attempt whose intent was recorded for an earlier owner.
+    /// Answers for an attempt whose intent was committed for an earlier owner's epoch.
     ///
-    /// Once every worker that it may run on has answered under this epoch
-    /// and none holds it, it runs nowhere and never will.
+    /// Once every worker that may run the attempt has answered under this
+    /// epoch, or was declared lost, and none of them reports it, the attempt
+    /// runs nowhere and never will.
     pub(super) fn answer_for_earlier_epoch(
         &mut self,
         key: TaskKey,
@@ -216,20 +220,21 @@
         started_on: Option<&WorkerName>,
         ctx: &mut OwnerContext<'_>,
     ) {
-        let settled = |seat: &WorkerSeat| seat.fenced || seat.given_up;
+        let cannot_run_it =
+            |worker_state: &WorkerState| worker_state.fenced || worker_state.declared_lost;
         let known = match started_on {
-            Some(worker) => self.seats.get(worker).is_none_or(settled),
+            Some(worker) => self.worker_states.get(worker).is_none_or(cannot_run_it),
             None => self
-                .seats
+                .worker_states
                 .values()
-                .filter(|seat| seat.recorded)
-                .all(settled),
+                .filter(|worker_state| worker_state.in_roster)
+                .all(cannot_run_it),
         };
-        if known || !ctx.guards.has(GuardName::WorkerFence) {
-            self.note_over(key, team_partition, PlacementStatus::Lost, ctx);
+        if known || !ctx.guards.enforces(GuardName::WorkerFence) {
+            self.record_finished(key, team_partition, PlacementStatus::Lost, ctx);
         } else {
             ctx.tally.refuse(RefusalReason::NotFenced);
-            self.say_of(key, team_partition, PlacementStatus::Unfenced, ctx);
+            self.send_status_of(key, team_partition, PlacementStatus::Unfenced, ctx);
         }
     }
 
@@ -249,18 +254,18 @@
             | PlacementPhase::Held { .. }
             | PlacementPhase::Starting { sent: false } => {
                 let status = PlacementStatus::NotRun(RefusalReason::NoRoom);
-                self.set_over(id, status, ctx);
+                self.finish_entry(id, status, ctx);
             }
             PlacementPhase::Starting { sent: true } | PlacementPhase::Running if !only_waiting => {
                 self.set_phase(id, PlacementPhase::Stopping { outcome });
-                self.hasten(worker.as_deref(), ctx.now);
+                self.make_exchange_due(worker.as_deref(), ctx.now);
             }
-            _ => self.say(id, ctx),
+            _ => self.send_status(id, ctx),
         }
     }
 }
 
-fn blank_label(team_partition: PartitionIndex) -> TaskLabel {
+fn empty_label(team_partition: PartitionIndex) -> TaskLabel {
     TaskLabel {
         team_partition,
         size: Default::default(),
