--- a/crates/bankvalve_cell/src/owner/team/attempt_messages.rs
+++ b/crates/bankvalve_cell/src/owner/team/attempt_messages.rs
@@ -1,4 +1,4 @@
-//! What is said to and heard from the owners of worker partitions.
+//! Orders to the owners of worker partitions, and handling of their statuses.
 
 use std::time::Duration;
 
@@ -15,13 +15,15 @@
 use crate::refusal::{RefusalReason, RetryReason};
 use crate::tally::InvariantKind;
 
-/// Time between two questions about an attempt that is known to run.
-const ASK_RUNNING: Duration = Duration::from_secs(60);
-/// Time after which queued urgent work may be moved to another partition.
-const URGENT_PATIENCE: Duration = Duration::from_millis(1_200);
+/// Interval at which the placement order of a running attempt is repeated to query its status.
+const RUNNING_REPEAT: Duration = Duration::from_secs(60);
+/// Time after which a queued attempt of an urgent job may be moved to another partition.
+///
+/// Messages about attempts of urgent jobs are repeated at half this interval.
+const URGENT_MOVE_AFTER: Duration = Duration::from_millis(1_200);
 
 impl TeamPartition {
-    /// Takes word of how an attempt stands.
+    /// Handles the status of an attempt, sent by the owner of a worker partition.
     pub fn handle_status(
         &mut self,
         partition: PartitionIndex,
@@ -115,7 +117,7 @@
         }
     }
 
-    /// Marks attempts to be withdrawn; the orders go out with what is due.
+    /// Marks attempts as being withdrawn; the withdrawals are sent with the other due messages.
     pub(super) fn withdraw_all(&mut self, ids: &[TaskId]) {
         for id in ids {
             self.tracked_attempts.edit(id, |tracked| {
@@ -127,7 +129,7 @@
         }
     }
 
-    /// Makes what is to be said of a job's attempts due at once.
+    /// Makes the next messages about a job's attempts due now, for the attempts that `which` selects.
     pub(super) fn make_job_due(
         &mut self,
         team: &str,
@@ -144,7 +146,7 @@
         }
     }
 
-    /// Says again what has had no answer.
+    /// Sends the orders and withdrawals that are due, and sets when each is to be repeated.
     pub(super) fn send_due_messages(&mut self, view: &TeamView<'_>, ctx: &mut OwnerContext<'_>) {
         let epochs = view.worker_rows.iter().map(|(index, row)| (index, row.0));
         self.tracked_attempts.record_epochs(ctx.now, epochs);
@@ -153,7 +155,9 @@
         }
     }
 
-    /// Sends an order before its intent is committed; only a check that takes the guard away does.
+    /// Sends an order before its intent is committed.
+    ///
+    /// This happens only if a check disables the guard `IntentFirst`.
     pub(super) fn send_before_commit(
         &mut self,
         id: &TaskId,
@@ -162,8 +166,8 @@
         ctx: &mut OwnerContext<'_>,
     ) {
         let key = id.attempt(attempt);
-        let place = (choice.partition, choice.epoch);
-        let order = self.order_for(&key, place, PlaceGate::Start, ctx);
+        let intent = (choice.partition, choice.epoch);
+        let order = self.order_for(&key, intent, PlaceGate::Start, ctx);
         self.send_order(choice.partition, choice.epoch, order, ctx);
     }
 
@@ -192,7 +196,7 @@
         let started_on = task.worker.clone();
         let key = id.attempt(task.attempt);
         let repeat = if job.spec.urgent {
-            URGENT_PATIENCE / 2
+            URGENT_MOVE_AFTER / 2
         } else {
             ctx.timings.repeat
         };
@@ -206,8 +210,13 @@
             }
             repeated = tracked.sent_epoch.is_some() && !running && !tracked.held && !tracked.queued;
             withdrawing = tracked.withdrawing;
-            let settled = running && !withdrawing && tracked.sent_epoch == Some(epoch);
-            tracked.next_send = now + if settled { ASK_RUNNING } else { repeat };
+            let known_running = running && !withdrawing && tracked.sent_epoch == Some(epoch);
+            tracked.next_send = now
+                + if known_running {
+                    RUNNING_REPEAT
+                } else {
+                    repeat
+                };
             tracked.sent_epoch = Some(epoch);
         });
         if repeated {
@@ -249,18 +258,20 @@
         self.send_order(partition, epoch, order, ctx);
     }
 
-    /// Tells whether all tasks of the gang in earlier partitions hold room.
+    /// Returns whether all tasks of the gang in partitions with a lower index have reserved capacity.
     fn may_reserve(&self, id: &TaskId) -> bool {
-        let Some((own, _)) = self.placed_in(id) else {
+        let Some((partition, _)) = self.placed_in(id) else {
             return false;
         };
         let name = (id.team.clone(), id.job.clone());
         self.gang_reserving_in
             .get(&name)
-            .is_none_or(|turn| own <= *turn)
+            .is_none_or(|reserving_in| partition <= *reserving_in)
     }
 
-    /// Tells whether an attempt has queued for long while another partition has room.
+    /// Returns whether a queued attempt is due to be moved and another partition has capacity for it.
+    ///
+    /// Attempts of gangs are not moved.
     fn should_move(&mut self, id: &TaskId, view: &TeamView<'_>, ctx: &OwnerContext<'_>) -> bool {
         let Some(tracked) = self.tracked_attempts.get(id) else {
             return false;
@@ -273,12 +284,12 @@
             return false;
         };
         let job = self.ledger.job(&id.team, &id.job).expect("placed");
-        let patience = if job.spec.urgent {
-            URGENT_PATIENCE
+        let move_limit = if job.spec.urgent {
+            URGENT_MOVE_AFTER
         } else {
             ctx.timings.move_after
         };
-        if job.spec.is_gang() || ctx.now < since + patience {
+        if job.spec.is_gang() || ctx.now < since + move_limit {
             return false;
         }
         let rules = super::scheduling::rules_of(job, ctx);
@@ -324,7 +335,7 @@
     fn order_for(
         &self,
         key: &TaskKey,
-        place: (PartitionIndex, Epoch),
+        intent: (PartitionIndex, Epoch),
         gate: PlaceGate,
         ctx: &OwnerContext<'_>,
     ) -> PlaceOrder {
@@ -341,7 +352,7 @@
                 gang: job.spec.is_gang(),
             },
             team_epoch: self.writer.epoch,
-            intent_epoch: place.1,
+            intent_epoch: intent.1,
             started_on: None,
             gate,
             rules: super::scheduling::rules_of(job, ctx),
@@ -395,7 +406,9 @@
         self.propose(proposal);
     }
 
-    /// Answers word of an attempt that is over or was never intended.
+    /// Answers a status of an attempt that is not active in the ledger.
+    ///
+    /// Confirms the end of an attempt that has finished, and withdraws any other.
     fn answer_inactive(
         &self,
         partition: PartitionIndex,
@@ -404,11 +417,11 @@
         status: &PlacementStatus,
         ctx: &mut OwnerContext<'_>,
     ) {
-        let over = matches!(
+        let finished = matches!(
             status,
             PlacementStatus::Ended { .. } | PlacementStatus::Lost | PlacementStatus::NotRun(_)
         );
-        if over {
+        if finished {
             let key = key.clone();
             ctx.send_to_worker_owner(partition, PeerMessage::EndRecorded { partition, key });
             return;
@@ -428,7 +441,7 @@
     }
 
     fn record_running(&mut self, id: &TaskId, ctx: &OwnerContext<'_>) {
-        let next = ctx.now + ASK_RUNNING;
+        let next = ctx.now + RUNNING_REPEAT;
         self.update_tracked(id, |tracked| {
             if !tracked.withdrawing {
                 tracked.next_send = next;
@@ -441,7 +454,9 @@
     }
 }
 
-/// Version at which the worker partition's row must stand for its word to count.
+/// Returns the version that the worker partition's row must still have when a release is committed.
+///
+/// Returns `None` if the row is unknown or has another epoch than the status; the release is then refused.
 fn release_condition(
     partition: PartitionIndex,
     epoch: Epoch,
--- a/crates/bankvalve_cell/src/owner/team/attempt_tracker.rs
+++ b/crates/bankvalve_cell/src/owner/team/attempt_tracker.rs
@@ -1,20 +1,25 @@
-//! Attempts that may be running, and when to say something about each.
+//! Attempts that may be running, and when to send the next message about each.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::ids::{Attempt, CellTime, Epoch, PartitionIndex};
 use crate::link::TaskId;
 
-/// An attempt that may be running, and what was last said and heard of it.
+/// An attempt that may be running, with what was last sent and reported about it.
 #[derive(Clone, Debug)]
 pub(super) struct TrackedAttempt {
     pub(super) attempt: Attempt,
     pub(super) partition: PartitionIndex,
+    /// When the next order or withdrawal is due.
     pub(super) next_send: CellTime,
+    /// Epoch of the worker partition when the last message became due, `None` before the first.
     pub(super) sent_epoch: Option<Epoch>,
+    /// When this owner began to track the attempt.
     pub(super) since: CellTime,
     pub(super) queued: bool,
+    /// Whether the worker partition's owner has reported a reservation for this gang task.
     pub(super) held: bool,
+    /// Whether the attempt's worker is draining or no longer listed as live.
     pub(super) leaving: bool,
     pub(super) withdrawing: bool,
 }
@@ -35,10 +40,10 @@
     }
 }
 
-/// Watches by task, by time and by worker partition.
+/// Tracked attempts, indexed by task, by due time and by worker partition.
 ///
-/// A step looks only at what is due, so that its cost does not grow with
-/// what merely runs.
+/// A step visits only the attempts whose next message is due, so its cost
+/// does not grow with the number of attempts that run.
 #[derive(Clone, Debug, Default)]
 pub(super) struct AttemptTracker {
     tracked_attempts: BTreeMap<TaskId, TrackedAttempt>,
@@ -52,7 +57,7 @@
         self.tracked_attempts.get(id)
     }
 
-    /// Puts a watch in, in place of one for an earlier attempt.
+    /// Tracks an attempt, in place of an earlier attempt of the same task.
     pub(super) fn insert(&mut self, id: &TaskId, tracked: TrackedAttempt) {
         self.remove(id);
         self.due.insert((tracked.next_send, id.clone()));
@@ -71,7 +76,7 @@
         }
     }
 
-    /// Changes a watch, if there is one.
+    /// Changes a task's tracked attempt, if there is one, and indexes its new due time.
     pub(super) fn edit(&mut self, id: &TaskId, change: impl FnOnce(&mut TrackedAttempt)) {
         let Some(tracked) = self.tracked_attempts.get_mut(id) else {
             return;
@@ -85,13 +90,13 @@
         }
     }
 
-    /// Tasks about which something is to be said by a time.
+    /// Returns the tasks whose next message is due at `now`.
     pub(super) fn due_by(&self, now: CellTime) -> Vec<TaskId> {
         let due = self.due.iter().take_while(|(at, _)| *at <= now);
         due.map(|(_, id)| id.clone()).collect()
     }
 
-    /// Makes the watches of worker partitions that have a new owner due.
+    /// Makes messages about attempts due in worker partitions whose epoch has changed.
     pub(super) fn record_epochs<'a>(
         &mut self,
         now: CellTime,
--- a/crates/bankvalve_cell/src/owner/team/commands.rs
+++ b/crates/bankvalve_cell/src/owner/team/commands.rs
@@ -1,4 +1,4 @@
-//! Commands of callers: submit, cancel, status.
+//! Callers' commands: submit, cancel, status, list of jobs.
 
 use super::commit::Proposal;
 use super::team_partition::{span_ms, TeamPartition, TeamView};
@@ -10,15 +10,15 @@
 use crate::owner::{OwnerAction, OwnerContext};
 use crate::refusal::RefusalReason;
 
-/// Events that may wait to be committed before new jobs are refused.
+/// Number of events waiting to be committed above which new jobs are refused.
 const PENDING_LIMIT: usize = 4_000;
-/// Batches that may wait to be archived before new jobs are refused.
+/// Number of batches waiting to be archived above which new jobs are refused.
 const ARCHIVE_LIMIT: usize = 4_096;
-/// Time after which a refused caller may come back, in milliseconds.
+/// Time after which a refused caller may retry, in milliseconds.
 const RETRY_AFTER_MS: u64 = 2_000;
 
 impl TeamPartition {
-    /// Takes a command; the answer may have to wait for a commit.
+    /// Handles a caller's command; the answer may have to wait for a commit.
     pub fn command(
         &mut self,
         origin: InstanceName,
@@ -56,28 +56,31 @@
         });
     }
 
-    /// Answers everybody who still waits for a commit that this owner will not see.
+    /// Refuses the commands whose events were not sent to the table service.
+    ///
+    /// Called when the instance stops owning the partition.
     pub fn abandon(&mut self, ctx: &mut OwnerContext<'_>) {
         let detail = "the team's partition has changed hands";
         let refusal = Refusal::temporary(RefusalReason::NoOwner, detail, RETRY_AFTER_MS);
         for proposal in std::mem::take(&mut self.pending) {
-            refuse_waiting(proposal, &refusal, ctx);
+            refuse_callers(proposal, &refusal, ctx);
         }
     }
 
-    /// Refuses jobs that were not sent to the table service, which does not answer.
+    /// Refuses submitted jobs that were not sent to the table service, as it is unavailable.
     pub(super) fn refuse_unsent_jobs(&mut self, ctx: &mut OwnerContext<'_>) {
-        let submits = |proposal: &Proposal| matches!(proposal.event, LedgerEvent::Submitted { .. });
-        if !self.pending.iter().any(submits) {
+        let is_submission =
+            |proposal: &Proposal| matches!(proposal.event, LedgerEvent::Submitted { .. });
+        if !self.pending.iter().any(is_submission) {
             return;
         }
         let detail = "the table service does not answer; nothing was recorded";
         let refusal = Refusal::temporary(RefusalReason::StoreUnavailable, detail, RETRY_AFTER_MS);
         let pending = std::mem::take(&mut self.pending);
-        let (jobs, rest): (Vec<_>, Vec<_>) = pending.into_iter().partition(submits);
+        let (jobs, rest): (Vec<_>, Vec<_>) = pending.into_iter().partition(is_submission);
         self.pending = rest;
         for proposal in jobs {
-            refuse_waiting(proposal, &refusal, ctx);
+            refuse_callers(proposal, &refusal, ctx);
         }
     }
 
@@ -90,7 +93,7 @@
         ctx: &mut OwnerContext<'_>,
     ) -> Option<CallerAnswer> {
         if let Some(known) = self.ledger.job(&spec.team, &spec.id) {
-            return Some(answer_again(known, &spec));
+            return Some(answer_resubmission(known, &spec));
         }
         let answer = OwnerAction::Answer {
             origin: origin.clone(),
@@ -241,8 +244,8 @@
     }
 }
 
-/// Tells everybody who waits for a proposal that it was not done.
-fn refuse_waiting(proposal: Proposal, refusal: &Refusal, ctx: &mut OwnerContext<'_>) {
+/// Sends a refusal to every caller that waits for a proposal to be committed.
+fn refuse_callers(proposal: Proposal, refusal: &Refusal, ctx: &mut OwnerContext<'_>) {
     for effect in proposal.effects {
         if let OwnerAction::Answer { origin, ticket, .. } = effect {
             ctx.tally.refuse(refusal.reason);
@@ -267,7 +270,7 @@
     }
 }
 
-fn answer_again(known: &JobState, spec: &JobSpec) -> CallerAnswer {
+fn answer_resubmission(known: &JobState, spec: &JobSpec) -> CallerAnswer {
     if known.spec == *spec {
         CallerAnswer::Accepted { again: true }
     } else {
@@ -288,7 +291,7 @@
     CallerAnswer::NotRun(Refusal::permanent(RefusalReason::UnknownJob, detail))
 }
 
-/// Checks that the job's smallest possible use fits the team's quota.
+/// Checks that the team's quota admits the job: all tasks at once of a gang, else one task.
 fn check_quota(spec: &JobSpec, contract: &TeamContract) -> Result<(), Refusal> {
     let least = if spec.is_gang() {
         spec.size.times(spec.task_count())
@@ -302,7 +305,9 @@
     Err(Refusal::permanent(RefusalReason::CanNeverRun, detail))
 }
 
-/// Checks that the listed workers, if empty, could hold the job.
+/// Checks that the listed workers would have the capacity for the job if they ran nothing else.
+///
+/// A gang needs capacity for all its tasks at once, any other job for one task.
 fn check_possible(
     spec: &JobSpec,
     contract: &TeamContract,
@@ -332,8 +337,11 @@
         );
         return Err(Refusal::permanent(RefusalReason::CanNeverRun, detail));
     }
-    let hold = |worker: &&ListedWorker| worker.detail.size.count_of(spec.size);
-    let at_once: u64 = admitted.iter().map(|worker| u64::from(hold(worker))).sum();
+    let task_capacity = |worker: &&ListedWorker| worker.detail.size.count_of(spec.size);
+    let at_once: u64 = admitted
+        .iter()
+        .map(|worker| u64::from(task_capacity(worker)))
+        .sum();
     let needed = if spec.is_gang() {
         u64::from(spec.task_count())
     } else {
--- a/crates/bankvalve_cell/src/owner/team/commit.rs
+++ b/crates/bankvalve_cell/src/owner/team/commit.rs
@@ -1,4 +1,4 @@
-//! Group commit: proposals become events in one conditional write.
+//! Group commit: one conditional write commits a batch of proposed events.
 
 use serde::{Deserialize, Serialize};
 
@@ -12,27 +12,27 @@
 use crate::refusal::RetryReason;
 use crate::tally::InvariantKind;
 
-/// Events in one batch.
+/// Most events in one batch.
 const BATCH_LIMIT: usize = 400;
 /// Batches between two snapshots.
-const SNAPSHOT_EVERY: u64 = 160;
-/// Log rows deleted together with a snapshot.
+const SNAPSHOT_INTERVAL: u64 = 160;
+/// Most log rows deleted together with a snapshot.
 const DELETE_LIMIT: usize = 320;
-/// Batches archived as one object.
+/// Most batches archived as one object, which is a segment.
 const SEGMENT_LIMIT: usize = 64;
-/// Batches that wait before a segment is archived early.
-const SEGMENT_FLOOR: usize = 24;
-/// Time after which fewer batches are archived too.
+/// Number of waiting batches from which a segment is archived before `ARCHIVE_AFTER`.
+const SEGMENT_THRESHOLD: usize = 24;
+/// Time since the start of the previous segment after which fewer batches are archived too.
 const ARCHIVE_AFTER: std::time::Duration = std::time::Duration::from_secs(30);
 
-/// An event that waits to be committed, and what follows once it is.
+/// An event that waits to be committed, and the actions to request once it is.
 #[derive(Debug)]
 pub(super) struct Proposal {
     pub(super) event: LedgerEvent,
-    /// Worker partition whose row must still stand at this version.
+    /// Worker partition whose row must still be at this version.
     pub(super) condition: Option<(PartitionIndex, RowVersion)>,
     pub(super) effects: Vec<OwnerAction>,
-    /// Room that the event will reserve, and the quota that admitted it.
+    /// Team, resources that the event reserves, and the quota that admitted them.
     pub(super) usage: Option<(TeamName, TaskSize, TaskSize)>,
 }
 
@@ -61,16 +61,18 @@
     deleted: Vec<u64>,
 }
 
-/// What became of the batch in flight.
+/// Outcome of the batch in flight.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum FlushOutcome {
-    /// It is committed, its rows at this version.
+    /// The batch is committed, and its rows are at this version.
     Committed(RowVersion),
-    /// Nothing was written: these rows were not at the version required.
+    /// Nothing was written, because these rows were not at the required version.
     Conflict(Vec<String>),
 }
 
-/// Row that orders all commits of a partition.
+/// The head row, which names the last batch of the log.
+///
+/// Every commit of the partition requires its version and rewrites it, so commits take effect in order.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 struct HeadRow {
     sequence: u64,
@@ -79,7 +81,7 @@
 }
 
 impl TeamPartition {
-    /// Puts an event in line for the next commit.
+    /// Queues an event for the next commit.
     pub(super) fn propose(&mut self, proposal: Proposal) {
         if let Some(task) = proposal.task() {
             self.uncommitted_tasks.insert(task);
@@ -109,7 +111,7 @@
                 .collect(),
         };
         let bytes = batch.encode();
-        let snapshot = self.sequence >= self.snapshot_sequence + SNAPSHOT_EVERY;
+        let snapshot = self.sequence >= self.snapshot_sequence + SNAPSHOT_INTERVAL;
         self.require_rows(txn, &proposals, ctx);
         self.write_rows(txn, &batch, &bytes);
         let deleted = if snapshot {
@@ -127,12 +129,12 @@
         true
     }
 
-    /// Key of the row whose content tells whether the batch in flight was committed.
+    /// Returns the key of the head row, whose content shows whether the batch in flight was committed.
     pub fn head_key(&self) -> String {
         format!("{}head", Self::row_prefix(self.index))
     }
 
-    /// Tells whether a head row is the one that the batch in flight writes.
+    /// Returns whether a head row is the one that the batch in flight writes.
     pub fn is_head_in_flight(&self, value: &[u8]) -> bool {
         let head = rmp_serde::from_slice::<HeadRow>(value).ok();
         let batch_in_flight = self.batch_in_flight.as_ref();
@@ -143,7 +145,7 @@
             })
     }
 
-    /// Tells whether a head row names the last batch that was read.
+    /// Returns whether a head row names the last batch that was loaded.
     pub(super) fn matches_head(&self, row: Option<&RowImage>) -> bool {
         let head = row.and_then(|row| rmp_serde::from_slice::<HeadRow>(&row.value).ok());
         match head {
@@ -152,7 +154,7 @@
         }
     }
 
-    /// Settles the batch in flight; returns whether the partition is still owned.
+    /// Handles the outcome of the batch in flight; returns whether the partition is still owned.
     pub fn end_flush(&mut self, outcome: &FlushOutcome, ctx: &mut OwnerContext<'_>) -> bool {
         match outcome {
             FlushOutcome::Committed(version) => {
@@ -170,9 +172,9 @@
         }
     }
 
-    /// The next object to archive, if one is due.
+    /// Returns the request that archives the next segment, if one is due.
     pub fn begin_archive(&mut self, ctx: &OwnerContext<'_>) -> Option<ObjectRequest> {
-        let due = self.log.len() >= SEGMENT_FLOOR
+        let due = self.log.len() >= SEGMENT_THRESHOLD
             || (!self.log.is_empty() && ctx.now >= self.archive_due);
         if self.archiving.is_some() || !due {
             return None;
@@ -192,7 +194,7 @@
         })
     }
 
-    /// Takes word of what became of the object being archived.
+    /// Handles the outcome of archiving a segment.
     pub fn end_archive(&mut self, stored: bool, ctx: &mut OwnerContext<'_>) {
         let Some(last) = self.archiving.take() else {
             return;
@@ -239,7 +241,9 @@
         txn.put(self.log_key(batch.sequence), bytes.to_vec());
     }
 
-    /// Writes the state as committed so far beside the next batch.
+    /// Adds a snapshot of the state before the next batch to a transaction, and deletes archived log rows.
+    ///
+    /// Returns the sequence numbers of the deleted rows.
     fn write_snapshot(&self, txn: &mut TableTransaction) -> Vec<u64> {
         let key = format!("{}snap", Self::row_prefix(self.index));
         let snapshot =
@@ -273,7 +277,7 @@
             batch_in_flight.sequence == next && version > self.head_version,
             || {
                 format!(
-                    "team partition {}: batch {} after {}",
+                    "team partition {}: batch {} was committed after batch {}",
                     self.index,
                     batch_in_flight.sequence,
                     next - 1
@@ -296,18 +300,18 @@
         ctx.tally.ledger_commits += 1;
         for proposal in batch_in_flight.proposals {
             ctx.tally.ledger_events += 1;
-            self.commit_one(proposal, ctx);
+            self.apply_committed(proposal, ctx);
         }
     }
 
-    fn commit_one(&mut self, proposal: Proposal, ctx: &mut OwnerContext<'_>) {
+    fn apply_committed(&mut self, proposal: Proposal, ctx: &mut OwnerContext<'_>) {
         self.ledger.apply(&proposal.event);
-        self.settle(&proposal);
+        self.clear_uncommitted(&proposal);
         if let Some((team, _, quota)) = &proposal.usage {
             let used = self.ledger.usage_of(team);
             ctx.tally
                 .assert(InvariantKind::Quota, used.fits_in(*quota), || {
-                    format!("team {team} holds {used} of {quota}")
+                    format!("team {team} has reserved {used} of {quota}")
                 });
         }
         if let Some(task) = proposal.task() {
@@ -326,8 +330,8 @@
         }
     }
 
-    /// Takes a proposal out of what is pending.
-    fn settle(&mut self, proposal: &Proposal) {
+    /// Removes a proposal from the tasks with uncommitted events and from the pending usage.
+    fn clear_uncommitted(&mut self, proposal: &Proposal) {
         if let Some(task) = proposal.task() {
             self.uncommitted_tasks.remove(&task);
         }
@@ -338,7 +342,7 @@
         }
     }
 
-    /// Drops what rests on a worker partition that has changed hands, and keeps the rest.
+    /// Drops proposals that depend on a changed row of a worker partition, and queues the others again.
     fn drop_conflicting(&mut self, keys: &[String], ctx: &mut OwnerContext<'_>) {
         let Some(batch_in_flight) = self.batch_in_flight.take() else {
             return;
@@ -348,14 +352,14 @@
                 keys.contains(&PartitionKey::worker(partition).row_key())
             })
         };
-        let (dropped, mut kept): (Vec<_>, Vec<_>) =
+        let (dropped, mut remaining): (Vec<_>, Vec<_>) =
             batch_in_flight.proposals.into_iter().partition(conflicts);
         for proposal in &dropped {
             ctx.tally.retry(RetryReason::StoreConflict);
-            self.settle(proposal);
+            self.clear_uncommitted(proposal);
         }
-        kept.append(&mut self.pending);
-        self.pending = kept;
+        remaining.append(&mut self.pending);
+        self.pending = remaining;
     }
 }
 
--- a/crates/bankvalve_cell/src/owner/team/gangs.rs
+++ b/crates/bankvalve_cell/src/owner/team/gangs.rs
@@ -1,4 +1,4 @@
-//! Jobs that need attention as a whole: gangs, services that drain, cancelled jobs.
+//! Jobs that are checked as a whole: gangs, services on leaving workers, cancelled jobs.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -16,15 +16,15 @@
 use crate::placement::{PartitionChoice, PlacementRequirements};
 use crate::refusal::{RefusalReason, RetryReason};
 
-/// Wait after which a gang queues for room instead of waiting for it to be free.
+/// Time after which a gang may also be assigned to partitions without free capacity, and queues there.
 const QUEUE_AFTER: Duration = Duration::from_secs(4);
-/// Shortest wait of a gang whose holds lapsed.
-const LEAST_BACKOFF_MS: u64 = 300;
-/// Longest wait of a gang whose holds lapsed.
-const MOST_BACKOFF_MS: u64 = 2_500;
+/// Shortest random wait of a gang that did not reserve all its capacity in time.
+const MIN_BACKOFF_MS: u64 = 300;
+/// Exclusive upper bound of that wait.
+const MAX_BACKOFF_MS: u64 = 2_500;
 
 impl TeamPartition {
-    /// Assigns all waiting tasks of a gang, or none.
+    /// Assigns all waiting tasks of a gang, or none; returns the number assigned.
     pub(super) fn assign_gang(
         &mut self,
         ready: &ReadyJob,
@@ -36,13 +36,13 @@
             .iter()
             .map(|task| task_of(ready, *task))
             .collect();
-        let whole = tasks.iter().all(|id| job.is_assignable(id.task));
+        let all_assignable = tasks.iter().all(|id| job.is_assignable(id.task));
         let first = &tasks[0];
         let waits = self
             .waits
             .get(first)
             .is_some_and(|wait| wait.until > ctx.now);
-        if !whole || waits || tasks.iter().any(|id| self.uncommitted_tasks.contains(id)) {
+        if !all_assignable || waits || tasks.iter().any(|id| self.uncommitted_tasks.contains(id)) {
             return 0;
         }
         match self.choose_for_gang(&tasks, ready, view, ctx) {
@@ -65,7 +65,7 @@
         let job = self.ledger.job(&ready.team, &ready.job).expect("ready");
         let need = job.reserve;
         let all = need.times(tasks.len() as u32);
-        let quota = self.quota_left(&ready.team, all, ctx)?;
+        let quota = self.check_team_quota(&ready.team, all, ctx)?;
         let rules = rules_of(job, ctx);
         let spread = BTreeMap::new();
         let urgent = job.spec.urgent;
@@ -81,27 +81,29 @@
             excluded: None,
             gang_size: tasks.len() as u32,
         };
-        let mut trial = view.digest_cache.clone();
+        let mut updated_cache = view.digest_cache.clone();
         let mut choices: Vec<PartitionChoice> = Vec::new();
         for _ in tasks {
-            let again = choices.last().filter(|last| trial.has_capacity(last, need));
-            let choice = match again {
+            let reusable = choices
+                .last()
+                .filter(|last| updated_cache.has_capacity(last, need));
+            let choice = match reusable {
                 Some(choice) => choice.clone(),
-                None => trial
+                None => updated_cache
                     .choose(&requirements, &self.policy, &mut self.rng)
                     .ok_or(RefusalReason::NoRoom)?,
             };
-            trial.deduct(&choice, need);
+            updated_cache.deduct(&choice, need);
             choices.push(choice);
         }
-        *view.digest_cache = trial;
+        *view.digest_cache = updated_cache;
         for (id, choice) in tasks.iter().zip(&choices) {
             self.propose_intent(id, choice, need, quota, ctx);
         }
         Ok(())
     }
 
-    /// Looks after gangs, services and cancelled jobs that are active.
+    /// Checks the active jobs that are gangs, services or cancelled.
     pub(super) fn check_active_jobs(&mut self, ctx: &mut OwnerContext<'_>) {
         let names: Vec<(TeamName, JobId)> = self.jobs_to_check.iter().cloned().collect();
         for (team, job) in names {
@@ -126,7 +128,7 @@
         }
     }
 
-    /// Commits a gang once all of it holds room, and gives up when that takes too long.
+    /// Commits a gang once all its tasks have reserved capacity; withdraws it if that takes too long.
     fn check_gang(&mut self, team: &str, job: &str, active: &[TaskId], ctx: &mut OwnerContext<'_>) {
         let state = self.ledger.job(team, job).expect("active");
         if active.is_empty() || state.gang_committed {
@@ -143,14 +145,14 @@
         if tracked_attempts().any(|tracked| tracked.withdrawing) {
             return;
         }
-        let lacking = tracked_attempts().filter(|tracked| !tracked.held);
-        let turn = lacking.map(|tracked| tracked.partition).min();
+        let unreserved = tracked_attempts().filter(|tracked| !tracked.held);
+        let reserving_in = unreserved.map(|tracked| tracked.partition).min();
         let name = (team.to_owned(), job.to_owned());
-        // Gangs that take partitions in the same order cannot each hold what
-        // the other waits for.
+        // All gangs reserve in partitions by ascending index, so no two of them can
+        // each reserve the capacity that the other waits for.
         self.gang_reserving_in
-            .insert(name, turn.unwrap_or(PartitionIndex::MAX));
-        if turn.is_none() && !self.is_committing(team, job) {
+            .insert(name, reserving_in.unwrap_or(PartitionIndex::MAX));
+        if reserving_in.is_none() && !self.is_committing(team, job) {
             let event = LedgerEvent::GangCommitted {
                 team: team.to_owned(),
                 job: job.to_owned(),
@@ -168,7 +170,7 @@
         {
             ctx.tally.retry(RetryReason::GangHoldLapsed);
             self.withdraw_all(active);
-            let backoff = self.rng.random_range(LEAST_BACKOFF_MS..MOST_BACKOFF_MS);
+            let backoff = self.rng.random_range(MIN_BACKOFF_MS..MAX_BACKOFF_MS);
             let wait = Duration::from_millis(backoff);
             for id in active {
                 self.record_wait(id, RefusalReason::NoRoom, wait, ctx);
@@ -177,7 +179,7 @@
     }
 
     fn is_committing(&self, team: &str, job: &str) -> bool {
-        let is = |proposal: &Proposal| {
+        let commits_gang = |proposal: &Proposal| {
             matches!(&proposal.event, LedgerEvent::GangCommitted { team: t, job: j, .. }
                 if t == team && j == job)
         };
@@ -185,29 +187,29 @@
             .batch_in_flight
             .iter()
             .flat_map(|batch_in_flight| batch_in_flight.proposals());
-        in_flight.chain(&self.pending).any(is)
+        in_flight.chain(&self.pending).any(commits_gang)
     }
 
-    /// Moves one task of a service off a worker that is leaving, if enough others are up.
+    /// Withdraws one task of a service from a leaving worker, if more than `min_available` tasks run.
     fn check_service(&mut self, team: &str, job: &str, active: &[TaskId]) {
         let state = self.ledger.job(team, job).expect("active");
         let JobKind::Service { min_available, .. } = state.spec.kind else {
             return;
         };
-        let up = active
+        let available = active
             .iter()
             .filter(|id| {
                 let task = &state.tasks[id.task as usize];
                 let running = matches!(task.phase, crate::ledger::TaskPhase::Running { .. });
-                let stays = |id| {
+                let not_withdrawing = |id| {
                     self.tracked_attempts
                         .get(id)
                         .is_some_and(|tracked| !tracked.withdrawing)
                 };
-                running && stays(*id)
+                running && not_withdrawing(*id)
             })
             .count() as u32;
-        if up <= min_available {
+        if available <= min_available {
             return;
         }
         let leaving = active.iter().find(|id| {
@@ -219,7 +221,9 @@
         }
     }
 
-    /// Spread of a job, for the domains that its next task should prefer.
+    /// Returns the failure domain with the fewest active tasks of a task's service.
+    ///
+    /// Considers only domains with such tasks; `None` if all have the same number.
     pub(super) fn preferred_domain(&self, id: &TaskId) -> Option<String> {
         let job = self.ledger.job(&id.team, &id.job)?;
         job.spec.service()?;
--- a/crates/bankvalve_cell/src/owner/team/mod.rs
+++ b/crates/bankvalve_cell/src/owner/team/mod.rs
@@ -1,4 +1,4 @@
-//! Owner of a team partition: the only one that decides on its teams' jobs.
+//! Owner of a team partition: the only instance that decides on its teams' jobs.
 
 mod attempt_messages;
 mod attempt_tracker;
--- a/crates/bankvalve_cell/src/owner/team/scheduling.rs
+++ b/crates/bankvalve_cell/src/owner/team/scheduling.rs
@@ -14,17 +14,19 @@
 use crate::placement::{PartitionChoice, PlacementRequirements};
 use crate::refusal::RefusalReason;
 
-/// Tasks that are assigned in one step at most.
-const DECISION_LIMIT: usize = 256;
-/// Jobs without a place that are looked at in one step at most.
-const MISS_LIMIT: usize = 24;
-/// First wait of a task that was refused; it doubles up to a limit.
-const FIRST_WAIT: Duration = Duration::from_millis(200);
-/// Times that the wait doubles at most.
-const DOUBLINGS: u32 = 5;
+/// Number of assignments after which a step considers no further job.
+const ASSIGNMENT_LIMIT: usize = 256;
+/// Number of jobs without an assignment after which a step considers no further job.
+const UNASSIGNED_JOB_LIMIT: usize = 24;
+/// Wait of a task after its first returned attempt, before any doubling.
+const BASE_WAIT: Duration = Duration::from_millis(200);
+/// Most times that the wait is doubled.
+const MAX_DOUBLINGS: u32 = 5;
 
 impl TeamPartition {
-    /// Does what is due: assignments, messages that need repeating, gangs, drains.
+    /// Assigns waiting tasks, checks gangs, services and cancelled jobs, and sends the due messages.
+    ///
+    /// While the table service is unavailable, refuses unsent jobs instead of assigning tasks.
     pub fn tick(&mut self, view: &mut TeamView<'_>, ctx: &mut OwnerContext<'_>) {
         if !self.confirmed {
             return;
@@ -38,23 +40,25 @@
         self.send_due_messages(view, ctx);
     }
 
-    /// Assigns waiting tasks: urgent jobs first, then by the team's share of its quota in use.
+    /// Assigns waiting tasks: urgent jobs first, then by the share of its quota that the team uses.
+    ///
+    /// The share is divided by the team's weight; jobs with equal shares follow in order of acceptance.
     fn assign_waiting(&mut self, view: &mut TeamView<'_>, ctx: &mut OwnerContext<'_>) {
-        let mut decided = 0;
-        let mut missed = 0;
+        let mut assigned_tasks = 0;
+        let mut unassigned_jobs = 0;
         for ready in self.jobs_in_order(ctx) {
             let Some(job) = self.ledger.job(&ready.team, &ready.job) else {
                 continue;
             };
             let gang = job.spec.is_gang();
-            let placed = if gang {
+            let assigned = if gang {
                 self.assign_gang(&ready, view, ctx)
             } else {
-                self.assign_tasks(&ready, DECISION_LIMIT - decided, view, ctx)
+                self.assign_tasks(&ready, ASSIGNMENT_LIMIT - assigned_tasks, view, ctx)
             };
-            decided += placed;
-            missed += usize::from(placed == 0);
-            if decided >= DECISION_LIMIT || missed >= MISS_LIMIT {
+            assigned_tasks += assigned;
+            unassigned_jobs += usize::from(assigned == 0);
+            if assigned_tasks >= ASSIGNMENT_LIMIT || unassigned_jobs >= UNASSIGNED_JOB_LIMIT {
                 break;
             }
         }
@@ -88,9 +92,9 @@
         ctx: &mut OwnerContext<'_>,
     ) -> usize {
         let tasks: Vec<TaskIndex> = self.ready[ready].iter().copied().collect();
-        let mut placed = 0;
+        let mut assigned = 0;
         for task in tasks {
-            if placed >= limit {
+            if assigned >= limit {
                 break;
             }
             let id = TaskId {
@@ -102,14 +106,14 @@
                 continue;
             }
             match self.assign_one(&id, view, ctx) {
-                Ok(()) => placed += 1,
+                Ok(()) => assigned += 1,
                 Err(why) => {
                     self.record_wait(&id, why, Duration::ZERO, ctx);
                     break;
                 }
             }
         }
-        placed
+        assigned
     }
 
     fn assign_one(
@@ -120,7 +124,7 @@
     ) -> Result<(), RefusalReason> {
         let job = self.ledger.job(&id.team, &id.job).expect("ready");
         let need = job.reserve;
-        let quota = self.quota_left(&id.team, need, ctx)?;
+        let quota = self.check_team_quota(&id.team, need, ctx)?;
         let spread = spread_of(job);
         let rules = rules_of(job, ctx);
         let requirements = PlacementRequirements {
@@ -142,8 +146,8 @@
         Ok(())
     }
 
-    /// Checks a team's quota for one more task; returns the quota.
-    pub(super) fn quota_left(
+    /// Checks that a team's quota has `need` left; returns the whole quota.
+    pub(super) fn check_team_quota(
         &self,
         team: &TeamName,
         need: TaskSize,
@@ -163,7 +167,7 @@
         }
     }
 
-    /// Puts the intent to run a task's next attempt in line for the next commit.
+    /// Queues the intent to run a task's next attempt for the next commit.
     pub(super) fn propose_intent(
         &mut self,
         id: &TaskId,
@@ -190,7 +194,7 @@
         }
     }
 
-    /// Tells whether a task belongs to an urgent job.
+    /// Returns whether a task belongs to an urgent job.
     pub(super) fn is_urgent(&self, id: &TaskId) -> bool {
         let job = self.ledger.job(&id.team, &id.job);
         job.is_some_and(|job| job.spec.urgent)
@@ -200,7 +204,10 @@
         self.waits.get(id).is_some_and(|wait| wait.until > ctx.now)
     }
 
-    /// Notes why a task waits, and for how long it is left alone.
+    /// Records why a task waits, and until when it is not considered for assignment.
+    ///
+    /// The wait is a quarter of `BASE_WAIT`, doubled up to `BASE_WAIT` while the reason stays the same,
+    /// and at least `at_least`.
     pub(super) fn record_wait(
         &mut self,
         id: &TaskId,
@@ -209,16 +216,19 @@
         ctx: &mut OwnerContext<'_>,
     ) {
         let known = self.waits.get(id).filter(|wait| wait.why == why);
-        let times = known.map_or(0, |wait| (wait.times + 1).min(DOUBLINGS));
+        let times = known.map_or(0, |wait| (wait.times + 1).min(MAX_DOUBLINGS));
         if known.is_none() {
             ctx.tally.refuse(why);
         }
-        let until = ctx.now + at_least.max(FIRST_WAIT / 4 * 2_u32.pow(times.min(2)));
+        let until = ctx.now + at_least.max(BASE_WAIT / 4 * 2_u32.pow(times.min(2)));
         self.waits
             .insert(id.clone(), TaskWait { until, why, times });
     }
 
-    /// Notes that an attempt came back without having run, and waits longer each time.
+    /// Records that an attempt was returned without having run, and until when its task waits.
+    ///
+    /// The wait is `BASE_WAIT`, doubled as many times as the task's recorded wait counts, up to
+    /// `MAX_DOUBLINGS` times. It is not doubled for urgent jobs.
     pub(super) fn record_returned(
         &mut self,
         id: &TaskId,
@@ -227,8 +237,8 @@
     ) {
         let times = self.waits.get(id).map_or(0, |wait| wait.times);
         let urgent = self.is_urgent(id);
-        let doublings = if urgent { 0 } else { times.min(DOUBLINGS) };
-        let wait = FIRST_WAIT * 2_u32.pow(doublings);
+        let doublings = if urgent { 0 } else { times.min(MAX_DOUBLINGS) };
+        let wait = BASE_WAIT * 2_u32.pow(doublings);
         let until = ctx.now + wait;
         let times = times + 1;
         self.waits
@@ -236,7 +246,7 @@
     }
 }
 
-/// Active tasks of a job by failure domain.
+/// Returns the number of a service's active tasks by failure domain; empty for other jobs.
 pub(super) fn spread_of(job: &JobState) -> BTreeMap<DomainName, u32> {
     let mut spread = BTreeMap::new();
     if job.spec.service().is_none() {
@@ -250,7 +260,7 @@
     spread
 }
 
-/// Rules that must all admit a job's place.
+/// Returns the placement rules of a job and its team, without empty ones; all must admit a worker.
 pub(super) fn rules_of(job: &JobState, ctx: &OwnerContext<'_>) -> Vec<PlaceRule> {
     let mut rules = vec![job.spec.place.clone()];
     if let Some(contract) = ctx.bundle.teams.get(&job.spec.team) {
--- a/crates/bankvalve_cell/src/owner/team/team_partition.rs
+++ b/crates/bankvalve_cell/src/owner/team/team_partition.rs
@@ -1,4 +1,4 @@
-//! State of a team partition and how it is loaded.
+//! State of a team partition, and loading it from the table.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -19,27 +19,28 @@
 use crate::placement::{DigestCache, PlacePolicy};
 use crate::refusal::{RefusalReason, RetryReason};
 
-/// What a team partition's owner looks things up in.
+/// Data from outside a team partition that its owner uses.
 pub struct TeamView<'a> {
-    /// Room of the worker partitions.
+    /// Latest digests of the worker partitions, less what this instance has assigned since.
     pub digest_cache: &'a mut DigestCache,
     /// Epochs and row versions of the worker partitions, as last read.
     pub worker_rows: &'a BTreeMap<PartitionIndex, (Epoch, RowVersion)>,
     /// The platform's instance list.
     pub listed: &'a [ListedWorker],
-    /// Whether the store has answered lately.
+    /// Whether the table service has answered recently.
     pub store_available: bool,
 }
 
-/// Why a task waits, and until when it is not looked at.
+/// Why a task waits, and until when it is not considered for assignment.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct TaskWait {
     pub(super) until: CellTime,
     pub(super) why: RefusalReason,
+    /// Number of refusals or returns that determines the length of the next wait.
     pub(super) times: u32,
 }
 
-/// A job that has tasks to assign, in the order in which jobs are looked at.
+/// A job that has tasks to assign; urgent jobs sort first, then jobs that were accepted earlier.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct ReadyJob {
     pub(super) not_urgent: bool,
@@ -67,7 +68,7 @@
     pub(super) archived: u64,
     /// Committed batches that are not archived yet.
     pub(super) log: VecDeque<(u64, Vec<u8>)>,
-    /// Sequences of the log rows that stand in the table.
+    /// Sequence numbers of the log rows in the table.
     pub(super) rows: BTreeSet<u64>,
     pub(super) archiving: Option<u64>,
     pub(super) archive_due: CellTime,
@@ -77,15 +78,18 @@
     pub(super) pending_usage: BTreeMap<TeamName, TaskSize>,
     pub(super) tracked_attempts: AttemptTracker,
     pub(super) waits: BTreeMap<TaskId, TaskWait>,
+    /// When this owner first tried to assign each gang.
     pub(super) gang_since: BTreeMap<(TeamName, JobId), CellTime>,
-    /// The first worker partition in which a gang does not hold all its room yet.
+    /// First worker partition, by index, in which a gang has not reserved all its capacity yet.
+    ///
+    /// `PartitionIndex::MAX` once it has reserved all of it.
     pub(super) gang_reserving_in: BTreeMap<(TeamName, JobId), PartitionIndex>,
     pub(super) ready: BTreeMap<ReadyJob, BTreeSet<TaskIndex>>,
     pub(super) jobs_to_check: BTreeSet<(TeamName, JobId)>,
 }
 
 impl TeamPartition {
-    /// Takes a partition over; its rows must be given next.
+    /// Makes the state of a partition that was just claimed; its rows must be loaded next.
     pub fn new(
         index: PartitionIndex,
         writer: BatchWriter,
@@ -125,47 +129,47 @@
         }
     }
 
-    /// Prefix of the partition's rows.
+    /// Returns the prefix of the keys of a partition's rows.
     pub fn row_prefix(index: PartitionIndex) -> String {
         format!("team/{index:04}/")
     }
 
-    /// The owner's epoch.
+    /// Returns the owner's epoch.
     pub fn epoch(&self) -> Epoch {
         self.writer.epoch
     }
 
-    /// Tells whether the rows have been read and the takeover is committed.
+    /// Returns whether the rows have been loaded and the takeover is committed.
     pub fn is_confirmed(&self) -> bool {
         self.confirmed
     }
 
-    /// The state, as committed.
+    /// Returns the committed state.
     pub fn ledger(&self) -> &TeamLedger {
         &self.ledger
     }
 
-    /// Tells whether nothing waits to be committed.
+    /// Returns whether no event waits to be committed and no batch is in flight.
     pub fn is_flushed(&self) -> bool {
         self.pending.is_empty() && self.batch_in_flight.is_none()
     }
 
-    /// Tasks that wait to be assigned.
+    /// Returns the number of tasks that wait to be assigned.
     pub fn waiting_tasks(&self) -> usize {
         self.ready.values().map(BTreeSet::len).sum()
     }
 
-    /// Committed batches that are not archived yet.
+    /// Returns the number of committed batches that are not archived yet.
     pub fn unarchived(&self) -> usize {
         self.log.len()
     }
 
-    /// What is known of a task, for diagnosis.
+    /// Returns the state of a task as text, for diagnosis.
     pub fn describe(&self, id: &TaskId) -> Option<String> {
         let job = self.ledger.job(&id.team, &id.job)?;
         let state = &job.tasks[id.task as usize];
         Some(format!(
-            "team partition {} epoch {}: {:?}, attempt {}, cancelled {}, busy {}, {:?}, {:?}",
+            "team partition {} epoch {}: {:?}, attempt {}, cancelled {}, uncommitted event {}, {:?}, {:?}",
             self.index,
             self.writer.epoch,
             state.phase,
@@ -177,20 +181,22 @@
         ))
     }
 
-    /// Takes in all rows of the partition, read after it was claimed.
+    /// Loads the rows of the partition, which were read after it was claimed, and proposes the takeover.
     ///
-    /// Returns false if the rows do not belong together, because some were
-    /// read from before; they must then be read again.
+    /// Returns false if the head row does not name the last batch of the
+    /// log, because some of the rows are out of date; the rows must then be
+    /// read again.
     pub fn load(&mut self, rows: &[RowImage], ctx: &mut OwnerContext<'_>) -> bool {
         let prefix = Self::row_prefix(self.index);
-        let named = |name: &str| {
+        let find_row = |name: &str| {
             let key = format!("{prefix}{name}");
             rows.iter().find(move |row| row.key == key)
         };
-        if let Some(row) = named("head") {
+        if let Some(row) = find_row("head") {
             self.head_version = row.version;
         }
-        if let Some(snapshot) = named("snap").and_then(|row| LedgerSnapshot::decode(&row.value)) {
+        if let Some(snapshot) = find_row("snap").and_then(|row| LedgerSnapshot::decode(&row.value))
+        {
             self.sequence = snapshot.sequence;
             self.snapshot_sequence = snapshot.sequence;
             self.chain = snapshot.chain;
@@ -202,23 +208,25 @@
         for (batch, bytes) in read_batches(logs) {
             self.load_batch(&batch, bytes);
         }
-        if !self.matches_head(named("head")) {
-            self.forget_rows();
+        if !self.matches_head(find_row("head")) {
+            self.reset_rows();
             ctx.tally.retry(RetryReason::StoreConflict);
             return false;
         }
         self.loaded = true;
         self.index_all(ctx.now);
-        let took = LedgerEvent::OwnerTook {
+        let takeover = LedgerEvent::OwnerTook {
             owner: self.writer.instance.clone(),
             epoch: self.writer.epoch,
             at: ctx.wall,
         };
-        self.propose(Proposal::of(took));
+        self.propose(Proposal::of(takeover));
         true
     }
 
-    /// Looks anew at a task after an event about it was committed.
+    /// Updates the indexes of ready tasks, tracked attempts and jobs to check for one task.
+    ///
+    /// Called after an event about the task was committed, and when the partition is loaded.
     pub(super) fn index_task(&mut self, id: &TaskId, now: CellTime) {
         let Some(job) = self.ledger.job(&id.team, &id.job) else {
             return;
@@ -252,7 +260,7 @@
         }
     }
 
-    /// Looks anew at all tasks of a job.
+    /// Updates the indexes for all tasks of a job.
     pub(super) fn index_job(&mut self, team: &str, job: &str, now: CellTime) {
         for id in self.ledger.task_ids(team, job) {
             self.index_task(&id, now);
@@ -267,7 +275,7 @@
         }
     }
 
-    fn forget_rows(&mut self) {
+    fn reset_rows(&mut self) {
         self.ledger = TeamLedger::default();
         self.sequence = 0;
         self.snapshot_sequence = 0;
@@ -305,7 +313,7 @@
     }
 }
 
-/// Milliseconds of a wall-clock time span, zero if it ran backwards.
+/// Returns the length of a wall-clock time span in milliseconds, zero if the clock was set back.
 pub(super) fn span_ms(from: UnixMillis, to: UnixMillis) -> u64 {
     to.saturating_sub(from)
 }
