--- a/crates/bankvalve/src/serve/instance_process.rs
+++ b/crates/bankvalve/src/serve/instance_process.rs
@@ -277,7 +277,7 @@
         timings: settings.cell_timings(),
         guards: GuardSet::default(),
         policy: PlacePolicy::default(),
-        least_incarnation: unix_millis(),
+        min_incarnation: unix_millis(),
     }
 }
 
--- a/crates/bankvalve/src/serve/request_router.rs
+++ b/crates/bankvalve/src/serve/request_router.rs
@@ -206,7 +206,7 @@
         ordered.shuffle(&mut rand::rng());
         ordered.sort_by_key(|point| {
             let own = point.owner == self.name;
-            let near = point.point.domain == self.domain;
+            let near = point.endpoint.domain == self.domain;
             (!own, !near)
         });
         ordered
@@ -220,7 +220,7 @@
     ) -> RequestOutcome {
         if point.owner == self.name {
             return self
-                .send_to_worker(routes, &point.point.worker, request)
+                .send_to_worker(routes, &point.endpoint.worker, request)
                 .await;
         }
         self.counters.hops.fetch_add(1, Ordering::Relaxed);
@@ -261,7 +261,7 @@
     async fn send_to_peer(&self, point: &ServiceRoute, request: &ServiceRequest) -> RequestOutcome {
         let path = format!(
             "/peer/requests/{}/{}/{}",
-            request.team, request.service, point.point.worker
+            request.team, request.service, point.endpoint.worker
         );
         let url = format!("http://{}{path}", point.owner_address);
         let left = request.deadline.saturating_duration_since(Instant::now());
--- a/crates/bankvalve/src/serve/route_table.rs
+++ b/crates/bankvalve/src/serve/route_table.rs
@@ -80,7 +80,10 @@
     pub fn next(&self, points: Vec<ServiceRoute>, own: Vec<OwnedWorker>) -> Self {
         let mut table = Self::default();
         for point in points {
-            let name = (point.point.key.team.clone(), point.point.service.clone());
+            let name = (
+                point.endpoint.key.team.clone(),
+                point.endpoint.service.clone(),
+            );
             table.points.entry(name).or_default().push(point);
         }
         for worker in own {
--- a/crates/bankvalve_cell/src/instance/core_settings.rs
+++ b/crates/bankvalve_cell/src/instance/core_settings.rs
@@ -19,5 +19,5 @@
     /// How places are compared.
     pub policy: PlacePolicy,
     /// Least number for this life; later lives need a greater one.
-    pub least_incarnation: Incarnation,
+    pub min_incarnation: Incarnation,
 }
--- a/crates/bankvalve_cell/src/instance/instance_core.rs
+++ b/crates/bankvalve_cell/src/instance/instance_core.rs
@@ -62,7 +62,7 @@
     /// Makes an instance that knows nothing yet.
     pub fn new(settings: CoreSettings) -> Self {
         Self {
-            incarnation: settings.least_incarnation,
+            incarnation: settings.min_incarnation,
             settings,
             now: Duration::ZERO,
             wall: 0,
--- a/crates/bankvalve_cell/src/instance/routes.rs
+++ b/crates/bankvalve_cell/src/instance/routes.rs
@@ -9,7 +9,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ServiceRoute {
     /// The task.
-    pub point: ServiceEndpoint,
+    pub endpoint: ServiceEndpoint,
     /// Region of its worker.
     pub region: RegionName,
     /// Owner of the worker's partition.
@@ -48,7 +48,7 @@
                 continue;
             };
             routes.extend(list.points.iter().map(|point| ServiceRoute {
-                point: point.clone(),
+                endpoint: point.clone(),
                 region: list.region.clone(),
                 owner: row.owner.clone(),
                 owner_address: member.detail.peer_address.clone(),
--- a/crates/bankvalve_check/src/world/cell_world.rs
+++ b/crates/bankvalve_check/src/world/cell_world.rs
@@ -192,7 +192,7 @@
             timings: self.plan.timings,
             guards: self.plan.guards,
             policy: self.plan.policy.clone(),
-            least_incarnation: WALL_START + self.now.as_millis() as u64,
+            min_incarnation: WALL_START + self.now.as_millis() as u64,
         };
         let slot = &mut self.entries[entry];
         slot.life += 1;
