--- a/crates/bankvalve_cell/src/instance/bundle.rs
+++ b/crates/bankvalve_cell/src/instance/bundle.rs
@@ -1,4 +1,4 @@
-//! The bundle in force: read, spread, replaced by later versions only.
+//! The bundle in force: polls of its row, and writes of new versions.
 
 use super::store_requests::StorePurpose;
 use super::InstanceCore;
@@ -13,23 +13,25 @@
 
 /// Key of the row that holds the bundle in force.
 pub(super) const BUNDLE_KEY: &str = "bundle";
-/// Time after which a refused operator may come back, in milliseconds.
+/// Time after which a refused operator may retry, in milliseconds.
 const RETRY_AFTER_MS: u64 = 1_000;
 
-/// A bundle that an operator wants to put in force.
+/// A command to put a bundle in force that has no answer yet.
 #[derive(Clone, Debug)]
 struct OpenAccept {
     ticket: Ticket,
     bundle: CellBundle,
     txn: TableTransaction,
-    doubtful: bool,
+    /// Whether a write got no answer and may have taken effect.
+    uncertain: bool,
 }
 
-/// The bundle in force.
+/// The bundle in force, and the requests that read or replace it.
 #[derive(Clone, Debug, Default)]
 pub(super) struct BundleState {
     bundle: CellBundle,
     row_version: RowVersion,
+    /// When the row was last read.
     confirmed: Option<CellTime>,
     next_poll: CellTime,
     polling: bool,
@@ -47,12 +49,12 @@
 }
 
 impl InstanceCore {
-    /// Version of the bundle in force, zero before the first.
+    /// Returns the version of the bundle in force, or zero if none is known.
     pub fn bundle_version(&self) -> BundleVersion {
         self.bundle.bundle.version
     }
 
-    /// Reads the bundle's row when that is due.
+    /// Reads the bundle's row if a poll is due.
     pub(super) fn run_bundle(&mut self) {
         if self.bundle.polling || self.now < self.bundle.next_poll {
             return;
@@ -63,7 +65,7 @@
         self.send_store_request(StorePurpose::ReadBundle, StoreRequest::Read { key });
     }
 
-    /// Takes word of the version that a peer has in force.
+    /// Makes the next poll due now if a peer has a newer version in force.
     pub(super) fn poll_newer_bundle(&mut self, version: BundleVersion) {
         if version > self.bundle.bundle.version {
             self.bundle.next_poll = self.now;
@@ -92,10 +94,10 @@
     }
 
     fn put_in_force(&mut self, bundle: CellBundle, row_version: RowVersion) {
-        let before = self.bundle.bundle.version;
-        let rises = bundle.version >= before;
+        let previous = self.bundle.bundle.version;
+        let rises = bundle.version >= previous;
         self.tally.assert(InvariantKind::BundleRises, rises, || {
-            format!("bundle {} replaces bundle {before}", bundle.version)
+            format!("bundle {} replaces bundle {previous}", bundle.version)
         });
         self.bundle.bundle = bundle;
         self.bundle.row_version = row_version;
@@ -110,7 +112,7 @@
         }
     }
 
-    /// Puts a bundle in force after the version before it.
+    /// Writes a new bundle, whose version must be one higher than that in force.
     pub(super) fn accept_bundle(&mut self, ticket: Ticket, bundle: CellBundle) {
         if let Err(problem) = bundle.check() {
             self.answer_bundle(ticket, CallerAnswer::NotRun(Refusal::field(problem)));
@@ -135,7 +137,7 @@
             ticket,
             bundle,
             txn: txn.clone(),
-            doubtful: false,
+            uncertain: false,
         });
         self.send_store_request(StorePurpose::AcceptBundle, StoreRequest::Apply(txn));
     }
@@ -158,10 +160,10 @@
         match outcome {
             StoreOutcome::Applied { version } => {
                 let bundle = open.bundle.clone();
-                self.end_accept(bundle, *version);
+                self.finish_accept(bundle, *version);
             }
             StoreOutcome::Lost if self.settings.guards.enforces(GuardName::ReadBack) => {
-                open.doubtful = true;
+                open.uncertain = true;
                 let request = StoreRequest::Apply(open.txn.clone());
                 self.send_store_request(StorePurpose::AcceptBundle, request);
             }
@@ -174,7 +176,7 @@
                 let reason = RefusalReason::StoreUnavailable;
                 let detail = "the table service is busy; nothing was written";
                 let refusal = Refusal::temporary(reason, detail, RETRY_AFTER_MS);
-                let answer = if open.doubtful {
+                let answer = if open.uncertain {
                     CallerAnswer::Unknown {
                         detail: detail.into(),
                     }
@@ -186,7 +188,9 @@
         }
     }
 
-    /// Takes the row that tells who won when a bundle conflicted.
+    /// Handles the bundle's row, read after a write met a conflict.
+    ///
+    /// If an earlier write of the same bundle got no answer, the row shows whether it took effect.
     pub(super) fn handle_accepted_row(&mut self, outcome: StoreOutcome) {
         let StoreOutcome::Rows(rows) = outcome else {
             let key = BUNDLE_KEY.to_owned();
@@ -197,14 +201,14 @@
             self.bundle.accepting = None;
             return;
         };
-        let stands = rmp_serde::from_slice::<CellBundle>(&row.value).ok();
-        let own = self
+        let stored = rmp_serde::from_slice::<CellBundle>(&row.value).ok();
+        let is_ours = self
             .bundle
             .accepting
             .as_ref()
-            .is_some_and(|open| open.doubtful && stands.as_ref() == Some(&open.bundle));
-        if let (true, Some(bundle)) = (own, stands) {
-            self.end_accept(bundle, row.version);
+            .is_some_and(|open| open.uncertain && stored.as_ref() == Some(&open.bundle));
+        if let (true, Some(bundle)) = (is_ours, stored) {
+            self.finish_accept(bundle, row.version);
             return;
         }
         self.record_bundle_row(row);
@@ -214,7 +218,7 @@
         }
     }
 
-    fn end_accept(&mut self, bundle: CellBundle, row_version: RowVersion) {
+    fn finish_accept(&mut self, bundle: CellBundle, row_version: RowVersion) {
         let version = bundle.version;
         if version > self.bundle.bundle.version {
             self.put_in_force(bundle, row_version);
--- a/crates/bankvalve_cell/src/instance/commands.rs
+++ b/crates/bankvalve_cell/src/instance/commands.rs
@@ -1,4 +1,4 @@
-//! Commands of callers and operators, answered here or by the right owner.
+//! Commands of callers and operators: answered by this instance or forwarded to a partition's owner.
 
 use std::collections::BTreeSet;
 
@@ -12,27 +12,28 @@
 use crate::owner::WorkerPartition;
 use crate::refusal::RefusalReason;
 
-/// Time after which a refused caller may come back, in milliseconds.
+/// Time after which a refused caller may retry, in milliseconds.
 const RETRY_AFTER_MS: u64 = 2_000;
 
-/// A command that waits for its answer.
+/// A command that has no answer yet.
 #[derive(Clone, Debug)]
 pub(super) struct OpenCommand {
     deadline: CellTime,
-    /// Whether it changes something, so that no answer means that it is not known.
+    /// Whether the command changes state; if it expires, its outcome is then unknown.
     changes: bool,
     gather: Option<WorkerGather>,
 }
 
-/// Workers gathered from all instances.
+/// Worker lists collected from all instances for one command.
 #[derive(Clone, Debug)]
 struct WorkerGather {
+    /// Peers that have not answered yet.
     awaited: BTreeSet<InstanceName>,
     views: Vec<WorkerView>,
 }
 
 impl InstanceCore {
-    /// Takes a command that came to this instance.
+    /// Handles a command that a caller or operator sent to this instance.
     pub(super) fn handle_command(&mut self, ticket: Ticket, command: CallerCommand) {
         let changes = matches!(
             command,
@@ -120,7 +121,7 @@
         }
     }
 
-    /// Takes a command that another instance, or this one, had for an owner.
+    /// Handles a command that this instance or a peer forwarded to this one as the owner.
     pub(super) fn handle_forwarded(
         &mut self,
         origin: &InstanceName,
@@ -139,11 +140,12 @@
             CallerCommand::DrainWorker { worker, drain } => {
                 self.drain_worker(origin, ticket, &worker, drain);
             }
-            command => self.give_to_team(origin, ticket, command),
+            command => self.run_team_command(origin, ticket, command),
         }
     }
 
-    fn give_to_team(&mut self, origin: &InstanceName, ticket: Ticket, command: CallerCommand) {
+    /// Passes a command to the owner of its team's partition.
+    fn run_team_command(&mut self, origin: &InstanceName, ticket: Ticket, command: CallerCommand) {
         let team = command.team().cloned().unwrap_or_default();
         let index = self.settings.plan.team_partition_of(&team);
         let releasing = self.releasing.contains(&PartitionKey::team(index));
@@ -156,7 +158,7 @@
             self.refuse(origin, ticket, RefusalReason::NoOwner, detail);
             return;
         }
-        let sure = self.has_valid_lease();
+        let lease_valid = self.has_valid_lease();
         let known = match &command {
             CallerCommand::Status { team, job } | CallerCommand::Cancel { team, job } => {
                 let owner = &self.teams[&index];
@@ -164,7 +166,7 @@
             }
             _ => true,
         };
-        if !known && !sure {
+        if !known && !lease_valid {
             let detail = "the lease has lapsed, so that a later owner may know the job";
             self.refuse(origin, ticket, RefusalReason::NoOwner, detail);
             return;
@@ -215,10 +217,10 @@
             };
             self.send_to_peer(&to, message);
         }
-        self.end_gather_if_whole(ticket);
+        self.finish_gather_if_complete(ticket);
     }
 
-    /// Takes a peer's answer to a forwarded command.
+    /// Handles a peer's answer to a forwarded command.
     pub(super) fn handle_answer(
         &mut self,
         from: &InstanceName,
@@ -239,10 +241,10 @@
                 gather.views.extend(views);
             }
         }
-        self.end_gather_if_whole(ticket);
+        self.finish_gather_if_complete(ticket);
     }
 
-    fn end_gather_if_whole(&mut self, ticket: Ticket) {
+    fn finish_gather_if_complete(&mut self, ticket: Ticket) {
         let gather = self
             .open_commands
             .get_mut(&ticket)
@@ -298,7 +300,7 @@
         }
     }
 
-    /// Answers a command, here or through the instance that it came to.
+    /// Answers a command, directly or through the instance that received it.
     pub(super) fn answer(&mut self, origin: &InstanceName, ticket: Ticket, answer: CallerAnswer) {
         if *origin == self.settings.detail.name {
             if self.open_commands.remove(&ticket).is_some() {
@@ -322,17 +324,17 @@
         self.answer(origin, ticket, CallerAnswer::NotRun(refusal));
     }
 
-    /// Answers commands whose time is over.
+    /// Answers commands whose deadline has passed.
     pub(super) fn expire_commands(&mut self) {
         let now = self.now;
-        let late: Vec<Ticket> = self
+        let expired: Vec<Ticket> = self
             .open_commands
             .iter()
             .filter(|(_, open)| open.deadline <= now)
             .map(|(ticket, _)| *ticket)
             .collect();
         let here = self.settings.detail.name.clone();
-        for ticket in late {
+        for ticket in expired {
             let open = self.open_commands[&ticket].clone();
             if let Some(gather) = open.gather {
                 self.answer_workers(ticket, gather.views);
--- a/crates/bankvalve_cell/src/instance/core_event.rs
+++ b/crates/bankvalve_cell/src/instance/core_event.rs
@@ -1,4 +1,4 @@
-//! What happens to an entry instance, and what it asks to be done.
+//! Input events of an entry instance and the actions that it requests.
 
 use serde::{Deserialize, Serialize};
 
@@ -9,16 +9,16 @@
 };
 use crate::machine::ListedWorker;
 
-/// Messages that go to a peer together.
+/// Messages to a peer that are sent together.
 ///
-/// A receiver takes each batch once and in order, by life and sequence.
+/// The receiver handles batches in order of incarnation and sequence, and drops late and repeated ones.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PeerBatch {
     /// The sender.
     pub from: InstanceName,
-    /// The sender's life.
+    /// Incarnation of the sender.
     pub incarnation: Incarnation,
-    /// Number of the batch in what this life sends to this peer.
+    /// Number of the batch among those that this incarnation sends to this peer, from one.
     pub sequence: u64,
     /// Version of the bundle that the sender has in force.
     pub bundle: BundleVersion,
@@ -26,52 +26,52 @@
     pub messages: Vec<PeerMessage>,
 }
 
-/// Something that happens to an entry instance.
+/// An input event of an entry instance.
 #[derive(Clone, Debug)]
 pub enum CoreEvent {
-    /// Time has passed.
+    /// The driver's periodic timer fired; all work that is due runs.
     Tick,
     /// A peer's batch arrived.
     Peer(PeerBatch),
-    /// The table service answered, or did not.
+    /// A request to the table service has ended, with or without an answer.
     Store {
         /// Ticket of the request.
         ticket: Ticket,
-        /// What became of it.
+        /// Outcome of the request.
         outcome: StoreOutcome,
     },
-    /// The object store answered, or did not.
+    /// A request to the object store has ended, with or without an answer.
     Object {
         /// Ticket of the request.
         ticket: Ticket,
-        /// What became of it.
+        /// Outcome of the request.
         outcome: ObjectOutcome,
     },
-    /// A worker answered, or did not.
+    /// An exchange with a worker has ended, with or without an answer.
     Worker {
         /// Partition of the worker.
         partition: PartitionIndex,
         /// The worker.
         worker: WorkerName,
-        /// Token of the exchange.
+        /// Fencing token of the exchange.
         token: FenceToken,
-        /// The answer.
+        /// The worker's report or refusal, or why no answer came.
         answer: Result<Result<WorkerReport, WorkerRefusal>, LinkFailure>,
     },
     /// The platform's instance list was read.
     List(Vec<ListedWorker>),
-    /// A caller or operator wants something.
+    /// A command of a caller or operator arrived.
     Command {
-        /// Ticket to answer with.
+        /// Ticket that the answer must carry.
         ticket: Ticket,
-        /// What is wanted.
+        /// The command.
         command: CallerCommand,
     },
-    /// The process is to stop as planned.
+    /// A planned stop of the process was requested.
     Stop,
 }
 
-/// Something that an entry instance asks to be done.
+/// An action that an entry instance requests from its driver.
 #[derive(Clone, Debug)]
 pub enum CoreAction {
     /// Send a batch to a peer.
@@ -83,21 +83,21 @@
         /// The batch.
         batch: PeerBatch,
     },
-    /// Ask the table service.
+    /// Send a request to the table service.
     Store {
-        /// Ticket to answer with.
+        /// Ticket that the outcome must carry.
         ticket: Ticket,
         /// The request.
         request: StoreRequest,
     },
-    /// Ask the object store.
+    /// Send a request to the object store.
     Object {
-        /// Ticket to answer with.
+        /// Ticket that the outcome must carry.
         ticket: Ticket,
         /// The request.
         request: ObjectRequest,
     },
-    /// Exchange with a worker.
+    /// Start an exchange with a worker.
     Worker {
         /// Partition of the worker.
         partition: PartitionIndex,
@@ -105,7 +105,7 @@
         worker: WorkerName,
         /// Base URL of its API.
         address: String,
-        /// What to say.
+        /// The exchange.
         exchange: WorkerExchange,
     },
     /// Answer a command.
@@ -115,6 +115,6 @@
         /// The answer.
         answer: CallerAnswer,
     },
-    /// Everything is handed over; the process may end.
+    /// The planned stop is complete: this instance owns no partition and the process may end.
     Stopped,
 }
--- a/crates/bankvalve_cell/src/instance/core_settings.rs
+++ b/crates/bankvalve_cell/src/instance/core_settings.rs
@@ -1,23 +1,23 @@
-//! What an entry instance is told when it starts.
+//! Settings of an entry instance.
 
 use crate::ids::Incarnation;
 use crate::machine::{InstanceDetail, PartitionPlan};
 use crate::owner::{CellTimings, GuardSet};
 use crate::placement::PlacePolicy;
 
-/// What an entry instance is told when it starts.
+/// Settings that an entry instance is started with.
 #[derive(Clone, Debug)]
 pub struct CoreSettings {
-    /// The instance.
+    /// Name, peer address and location of the instance.
     pub detail: InstanceDetail,
-    /// How the cell is cut into partitions.
+    /// How the cell is divided into partitions.
     pub plan: PartitionPlan,
-    /// Times that govern the cell.
+    /// Timeouts, intervals and lease lengths.
     pub timings: CellTimings,
     /// Guards in force.
     pub guards: GuardSet,
-    /// How places are compared.
+    /// How possible workers and worker partitions are scored.
     pub policy: PlacePolicy,
-    /// Least number for this life; later lives need a greater one.
+    /// Lowest incarnation number that this process may register with; each restart needs a higher one.
     pub min_incarnation: Incarnation,
 }
--- a/crates/bankvalve_cell/src/instance/handover.rs
+++ b/crates/bankvalve_cell/src/instance/handover.rs
@@ -1,4 +1,4 @@
-//! Partitions that were taken over are read; those that are to move are released.
+//! Loading of partitions that were taken over, release of partitions, and planned stops.
 
 use std::time::Duration;
 
@@ -8,16 +8,16 @@
 use crate::membership::{instance_key, PartitionKey, PartitionRow};
 use crate::owner::TeamPartition;
 
-/// Time after which rows that could not be read are asked for again.
-const LOAD_AGAIN: Duration = Duration::from_millis(300);
+/// Time after which a failed load of a partition's rows is retried.
+const LOAD_RETRY_DELAY: Duration = Duration::from_millis(300);
 
 impl InstanceCore {
-    /// Asks again later for rows that could not be read.
-    pub(super) fn load_later(&mut self, key: PartitionKey) {
-        self.loads.insert(key, self.now + LOAD_AGAIN);
+    /// Schedules another load of a partition's rows after one that failed.
+    pub(super) fn retry_load_later(&mut self, key: PartitionKey) {
+        self.loads.insert(key, self.now + LOAD_RETRY_DELAY);
     }
 
-    /// Reads the rows of partitions that were taken over.
+    /// Loads the partitions that were taken over and whose load is due.
     pub(super) fn run_loads(&mut self) {
         let now = self.now;
         let due: Vec<PartitionKey> = self
@@ -40,7 +40,9 @@
         }
     }
 
-    /// Releases partitions that are to move, once nothing waits to be committed.
+    /// Releases partitions that are marked for release, once nothing in them waits to be committed.
+    ///
+    /// In a planned stop, the instance deregisters once it owns no partition.
     pub(super) fn run_releases(&mut self) {
         let ready: Vec<PartitionKey> = self
             .releasing
@@ -56,7 +58,7 @@
         }
     }
 
-    /// Takes the instance's own row away, so that peers need not wait for it to be silent.
+    /// Deletes the instance's row, so that peers need not wait until its lease expires.
     pub(super) fn deregister(&mut self) {
         if self.lease.request_pending || self.stopped {
             return;
@@ -69,23 +71,24 @@
         self.send_store_request(StorePurpose::Deregister, StoreRequest::Apply(txn));
     }
 
-    /// Ends a planned stop, whether or not the row could be taken away.
+    /// Completes a planned stop, whether or not the row was deleted.
     pub(super) fn handle_deregistered(&mut self) {
         self.stopped = true;
         self.send_to_all_peers(&PeerMessage::OwnerChanged);
         self.actions.push(CoreAction::Stopped);
     }
 
+    /// Returns whether an owned partition has nothing to commit and no release is pending.
     pub(super) fn can_release(&self, key: PartitionKey) -> bool {
-        let asked = self.store_tickets.values().any(
+        let release_pending = self.store_tickets.values().any(
             |(purpose, _)| matches!(purpose, StorePurpose::Release { key: other } if *other == key),
         );
-        let settled = !key.is_team()
+        let flushed = !key.is_team()
             || self
                 .teams
                 .get(&key.index)
                 .is_some_and(TeamPartition::is_flushed);
-        !asked && settled && self.owns(key)
+        !release_pending && flushed && self.owns(key)
     }
 
     pub(super) fn release(&mut self, key: PartitionKey) {
@@ -121,13 +124,15 @@
         }
     }
 
-    /// Begins a planned stop: hands over everything, then stops.
+    /// Begins a planned stop: marks all partitions for release and makes the next renewal due at once.
+    ///
+    /// The renewal shows peers that the instance is stopping.
     pub(super) fn begin_stop(&mut self) {
         if self.stopping {
             return;
         }
         self.stopping = true;
-        self.lease.next = self.now;
+        self.lease.next_renewal = self.now;
         let teams = self.teams.keys().map(|index| PartitionKey::team(*index));
         let workers = self
             .workers
--- a/crates/bankvalve_cell/src/instance/instance_core.rs
+++ b/crates/bankvalve_cell/src/instance/instance_core.rs
@@ -19,10 +19,10 @@
 use crate::refusal::RefusalReason;
 use crate::tally::CellTally;
 
-/// The decisions of one entry instance.
+/// The state machine that makes all decisions of one entry instance.
 ///
-/// [`InstanceCore::step`] takes an event and the time and returns what is to
-/// be done. It never blocks, sleeps or reads a clock.
+/// [`InstanceCore::step`] takes an event and the time, and returns the actions
+/// to perform. It never blocks, sleeps or reads a clock.
 #[derive(Debug)]
 pub struct InstanceCore {
     pub(super) settings: CoreSettings,
@@ -32,16 +32,19 @@
     pub(super) lease: LeaseState,
     pub(super) roster: MemberRoster,
     pub(super) partition_rows: BTreeMap<PartitionKey, (PartitionRow, RowVersion)>,
-    /// Epochs and row versions of the worker partitions, for quick look-up.
+    /// Epochs and row versions of the worker partitions, copied from `partition_rows` for fast lookup.
     pub(super) worker_rows: BTreeMap<PartitionIndex, (Epoch, RowVersion)>,
+    /// Worker partitions that this instance owns.
     pub(super) workers: BTreeMap<PartitionIndex, WorkerPartition>,
+    /// Team partitions that this instance owns.
     pub(super) teams: BTreeMap<PartitionIndex, TeamPartition>,
+    /// Partitions that this instance owns and is about to release.
     pub(super) releasing: BTreeSet<PartitionKey>,
-    /// Partitions whose rows are to be read, and when.
+    /// Times at which to read the rows of partitions that were taken over.
     pub(super) loads: BTreeMap<PartitionKey, CellTime>,
     pub(super) digest_cache: DigestCache,
-    /// Running tasks of services by worker partition, as last heard.
-    pub(super) points: BTreeMap<PartitionIndex, PartitionEndpoints>,
+    /// Latest list of running service tasks of each worker partition.
+    pub(super) service_endpoints: BTreeMap<PartitionIndex, PartitionEndpoints>,
     pub(super) listed: Vec<ListedWorker>,
     pub(super) bundle: BundleState,
     pub(super) commits: CommitState,
@@ -50,16 +53,19 @@
     pub(super) store_tickets: BTreeMap<Ticket, (StorePurpose, CellTime)>,
     pub(super) object_tickets: BTreeMap<Ticket, ObjectPurpose>,
     pub(super) next_ticket: Ticket,
+    /// When the table service last answered a request.
     pub(super) store_answered_at: Option<CellTime>,
     pub(super) stopping: bool,
     pub(super) stopped: bool,
     pub(super) tally: CellTally,
+    /// Actions that partition owners have requested and that are not performed yet.
     pub(super) owner_actions: Vec<OwnerAction>,
+    /// Actions that the current step will return.
     pub(super) actions: Vec<CoreAction>,
 }
 
 impl InstanceCore {
-    /// Makes an instance that knows nothing yet.
+    /// Makes an instance that is not registered yet and knows no peers.
     pub fn new(settings: CoreSettings) -> Self {
         Self {
             incarnation: settings.min_incarnation,
@@ -75,7 +81,7 @@
             releasing: BTreeSet::new(),
             loads: BTreeMap::new(),
             digest_cache: DigestCache::default(),
-            points: BTreeMap::new(),
+            service_endpoints: BTreeMap::new(),
             listed: Vec::new(),
             bundle: BundleState::default(),
             commits: CommitState::default(),
@@ -93,10 +99,11 @@
         }
     }
 
-    /// Takes an event at a time and returns what is to be done.
+    /// Handles an event and returns the actions to perform.
     ///
-    /// `now` is the process' monotonic clock and must not fall; `wall` is
-    /// used for the record only.
+    /// `now` is a reading of the process' monotonic clock; a reading lower than an
+    /// earlier one counts as the earlier one. `wall` is written to the ledger, and
+    /// no decision depends on it.
     pub fn step(&mut self, now: CellTime, wall: UnixMillis, event: CoreEvent) -> Vec<CoreAction> {
         self.now = self.now.max(now);
         self.wall = wall;
@@ -124,17 +131,18 @@
         std::mem::take(&mut self.actions)
     }
 
-    /// Counters.
+    /// Returns the counters.
     pub fn tally(&self) -> &CellTally {
         &self.tally
     }
 
-    /// The instance's life.
+    /// Returns the incarnation that this instance runs or registers with.
     pub fn incarnation(&self) -> Incarnation {
         self.incarnation
     }
 
-    /// Tells whether the instance has registered, knows its peers and the bundle in force.
+    /// Returns whether the instance has registered, knows partition rows and the bundle in force, and is
+    /// not stopping.
     pub fn is_ready(&self) -> bool {
         self.lease.is_registered()
             && self.roster_known()
@@ -142,27 +150,27 @@
             && !self.stopping
     }
 
-    /// Tells whether a planned stop has begun.
+    /// Returns whether a planned stop has begun.
     pub fn is_stopping(&self) -> bool {
         self.stopping
     }
 
-    /// Tells whether everything has been handed over.
+    /// Returns whether a planned stop is complete.
     pub fn is_stopped(&self) -> bool {
         self.stopped
     }
 
-    /// Partitions of workers that the instance owns.
+    /// Returns the worker partitions that the instance owns.
     pub fn worker_partitions(&self) -> impl Iterator<Item = &WorkerPartition> {
         self.workers.values()
     }
 
-    /// Partitions of teams that the instance owns.
+    /// Returns the team partitions that the instance owns, with their indexes.
     pub fn team_partitions(&self) -> impl Iterator<Item = (PartitionIndex, &TeamPartition)> {
         self.teams.iter().map(|(index, owner)| (*index, owner))
     }
 
-    /// What the owners here know of a task, for diagnosis.
+    /// Describes a task as this instance's partitions know it, for diagnosis.
     pub fn describe_task(&self, id: &TaskId) -> Vec<String> {
         let here = &self.settings.detail.name;
         let teams = self.teams.values().filter_map(|owner| owner.describe(id));
@@ -173,11 +181,11 @@
             .collect()
     }
 
-    /// Tells whether the store has answered lately.
+    /// Returns whether the table service has answered within the timing `store_silence`.
     pub fn store_available(&self) -> bool {
-        let silence = self.settings.timings.store_silence;
+        let limit = self.settings.timings.store_silence;
         self.store_answered_at
-            .is_some_and(|at| self.now.saturating_sub(at) < silence)
+            .is_some_and(|at| self.now.saturating_sub(at) < limit)
     }
 
     fn roster_known(&self) -> bool {
@@ -206,10 +214,10 @@
     }
 
     fn tick_worker_partition(&mut self, index: PartitionIndex) {
-        let mut news = Vec::new();
+        let mut updates = Vec::new();
         self.with_worker_partition(index, |owner, ctx| {
             owner.tick(ctx);
-            news = owner.due_updates(ctx);
+            updates = owner.due_updates(ctx);
         });
         if self
             .workers
@@ -221,7 +229,7 @@
             return;
         }
         let here = self.settings.detail.name.clone();
-        for message in news {
+        for message in updates {
             self.send_to_all_peers(&message);
             self.handle_message(&here, message);
         }
@@ -249,7 +257,7 @@
         }
     }
 
-    /// Gives a worker partition its part of the instance list.
+    /// Passes a worker partition the listed workers that belong to it.
     pub(super) fn update_listed_workers(&mut self, index: PartitionIndex) {
         let plan = &self.settings.plan;
         let part: Vec<ListedWorker> = self
@@ -312,7 +320,7 @@
         step(owner, &mut view, &mut ctx);
     }
 
-    /// Carries out what owners asked for, until they ask for nothing more.
+    /// Performs the actions that partition owners requested, and those that these request in turn.
     pub(super) fn run_owner_actions(&mut self) {
         while !self.owner_actions.is_empty() {
             let batch: VecDeque<_> = std::mem::take(&mut self.owner_actions).into();
@@ -352,7 +360,7 @@
         }
     }
 
-    /// Says something to the owner of a partition, which may be this instance.
+    /// Sends a message to the owner of a partition; handles it at once if that is this instance.
     fn send_to_owner(&mut self, key: PartitionKey, message: PeerMessage) {
         let owner = self.partition_rows.get(&key).map(|(row, _)| &row.owner);
         match owner {
@@ -368,7 +376,7 @@
         }
     }
 
-    /// Asks the table service.
+    /// Requests an action that sends a request to the table service.
     pub(super) fn send_store_request(
         &mut self,
         purpose: StorePurpose,
@@ -380,7 +388,7 @@
         ticket
     }
 
-    /// Asks the object store.
+    /// Requests an action that sends a request to the object store.
     pub(super) fn send_object_request(&mut self, purpose: ObjectPurpose, request: ObjectRequest) {
         let ticket = self.allocate_ticket();
         self.object_tickets.insert(ticket, purpose);
--- a/crates/bankvalve_cell/src/instance/lease.rs
+++ b/crates/bankvalve_cell/src/instance/lease.rs
@@ -1,4 +1,4 @@
-//! The instance's own lease: its row in the table service, renewed as long as it lives.
+//! Lease of this instance: its row in the table service, renewed at intervals.
 
 use std::time::Duration;
 
@@ -9,24 +9,27 @@
 use crate::membership::{instance_key, InstanceRow};
 use crate::refusal::RetryReason;
 
-/// Least time between two scans.
-const SCAN_GAP: Duration = Duration::from_millis(150);
-/// Time after which a write that failed is tried again.
-const WRITE_AGAIN: Duration = Duration::from_millis(300);
+/// Shortest interval between the starts of two scans.
+const MIN_SCAN_INTERVAL: Duration = Duration::from_millis(150);
+/// Time after which a failed write of the instance's row is retried.
+const WRITE_RETRY_DELAY: Duration = Duration::from_millis(300);
 
-/// The instance's own lease.
+/// State of this instance's lease, and of its scans of the membership and partition rows.
 #[derive(Clone, Debug, Default)]
 pub(super) struct LeaseState {
+    /// Version of the instance's row, as last read or written.
     pub(super) version: RowVersion,
     pub(super) beat: u64,
     pub(super) registered: bool,
+    /// Whether a read or write of the instance's row has no outcome yet.
     pub(super) request_pending: bool,
-    pub(super) next: CellTime,
-    /// Time from which the lease counts: when its last renewal was sent.
+    pub(super) next_renewal: CellTime,
+    /// Start of the lease: when the last confirmed renewal was sent, or when the
+    /// registration was confirmed.
     pub(super) confirmed: Option<CellTime>,
     pub(super) scanning: bool,
     pub(super) next_scan: CellTime,
-    /// When the last scan that was answered had been sent.
+    /// When the last scan whose partition rows were received was sent.
     pub(super) last_answered_scan: CellTime,
     pub(super) last_scan: CellTime,
 }
@@ -36,14 +39,14 @@
         self.registered
     }
 
-    /// Makes the next scan due as soon as the gap allows.
+    /// Makes the next scan due as soon as `MIN_SCAN_INTERVAL` allows.
     pub(super) fn scan_soon(&mut self) {
-        self.next_scan = self.next_scan.min(self.last_scan + SCAN_GAP);
+        self.next_scan = self.next_scan.min(self.last_scan + MIN_SCAN_INTERVAL);
     }
 }
 
 impl InstanceCore {
-    /// Tells whether the instance's own lease holds by its own clock.
+    /// Returns whether this instance's lease is still valid by its own clock.
     pub(super) fn has_valid_lease(&self) -> bool {
         let length = self.settings.timings.instance_lease;
         self.lease
@@ -53,11 +56,11 @@
 
     /// Registers the instance, then renews its lease.
     pub(super) fn run_lease(&mut self) {
-        if self.lease.request_pending || self.now < self.lease.next || self.stopped {
+        if self.lease.request_pending || self.now < self.lease.next_renewal || self.stopped {
             return;
         }
         self.lease.request_pending = true;
-        self.lease.next = self.now + self.settings.timings.instance_renewal;
+        self.lease.next_renewal = self.now + self.settings.timings.instance_renewal;
         if !self.lease.registered {
             let key = instance_key(&self.settings.detail.name);
             self.send_store_request(StorePurpose::ReadOwnRow, StoreRequest::Read { key });
@@ -86,7 +89,10 @@
         self.send_store_request(purpose, StoreRequest::Apply(txn));
     }
 
-    /// Takes in the instance's own row: a new life begins, or the lease goes on.
+    /// Handles the instance's row, which is read at the start and after a failed write.
+    ///
+    /// If the row shows that this incarnation is registered, its renewals go on.
+    /// Otherwise a new incarnation begins.
     pub(super) fn handle_own_row(&mut self, outcome: StoreOutcome) {
         self.lease.request_pending = false;
         let StoreOutcome::Rows(rows) = outcome else {
@@ -95,22 +101,23 @@
         let known = rows.first();
         let version = known.map_or(0, |row| row.version);
         let row = known.and_then(|row| InstanceRow::decode(&row.value));
-        let mine = |row: &InstanceRow| row.incarnation == self.incarnation && !row.revoked;
+        let is_this_incarnation =
+            |row: &InstanceRow| row.incarnation == self.incarnation && !row.revoked;
         self.lease.version = version;
-        if let Some(row) = row.as_ref().filter(|row| mine(row)) {
+        if let Some(row) = row.as_ref().filter(|row| is_this_incarnation(row)) {
             if row.detail == self.settings.detail && self.lease.beat > 0 {
                 self.lease.beat = row.beat;
                 self.lease.registered = true;
-                self.lease.next = self.now;
+                self.lease.next_renewal = self.now;
                 return;
             }
         }
-        let last = row.map_or(0, |row| row.incarnation);
-        let incarnation = self.incarnation.max(last + 1);
+        let last_incarnation = row.map_or(0, |row| row.incarnation);
+        let incarnation = self.incarnation.max(last_incarnation + 1);
         self.begin_incarnation(incarnation);
     }
 
-    /// Begins a life: nothing that an earlier one owned is owned any more.
+    /// Drops all partitions of the previous incarnation and registers a new one.
     pub(super) fn begin_incarnation(&mut self, incarnation: Incarnation) {
         self.incarnation = incarnation;
         self.workers.clear();
@@ -137,7 +144,7 @@
             self.lease.confirmed = Some(self.now);
             self.lease.scan_soon();
         } else {
-            self.lease.next = self.now + WRITE_AGAIN;
+            self.lease.next_renewal = self.now + WRITE_RETRY_DELAY;
         }
     }
 
@@ -153,7 +160,7 @@
             _ => {
                 self.tally.retry(RetryReason::StoreConflict);
                 self.lease.registered = false;
-                self.lease.next = self.now + WRITE_AGAIN;
+                self.lease.next_renewal = self.now + WRITE_RETRY_DELAY;
             }
         }
     }
--- a/crates/bankvalve_cell/src/instance/mod.rs
+++ b/crates/bankvalve_cell/src/instance/mod.rs
@@ -1,4 +1,4 @@
-//! An entry instance: membership, the partitions it owns, and its links.
+//! The state machine of an entry instance: its lease, its partitions, and its messages and requests.
 
 mod bundle;
 mod commands;
--- a/crates/bankvalve_cell/src/instance/ownership.rs
+++ b/crates/bankvalve_cell/src/instance/ownership.rs
@@ -1,4 +1,4 @@
-//! Scans of the rows that say who lives and owns what, and the claims that follow.
+//! Scans of the membership and partition rows, and the claims and releases that follow.
 
 use super::store_requests::StorePurpose;
 use super::InstanceCore;
@@ -11,14 +11,15 @@
 };
 use crate::owner::{TeamPartition, WorkerPartition};
 
-/// Partitions that move away in one scan while the instance goes on.
+/// Maximum number of partitions that one scan marks for release; a planned stop releases all at once.
 const MOVES_PER_SCAN: usize = 2;
 
 impl InstanceCore {
     /// Scans the partitions' rows, then the instances' rows.
     ///
-    /// The order counts: an owner that a partition row names has written its
-    /// instance row before, so a later scan without it means that it is gone.
+    /// The order matters: an owner writes its instance row before it claims a
+    /// partition. If the later scan of instance rows lacks an owner, that owner has
+    /// ended.
     pub(super) fn run_scan(&mut self) {
         if self.lease.scanning || self.now < self.lease.next_scan || self.stopped {
             return;
@@ -61,10 +62,10 @@
         self.reconcile_ownership();
     }
 
-    /// Drops the worker partitions when the table service has not confirmed them for too long.
+    /// Drops all worker partitions if no scan of their rows was answered within the timing `unattended`.
     ///
-    /// A successor counts on this: after that time, and a worker's lease,
-    /// nothing that this instance granted can still be running.
+    /// A later owner relies on this: once that time and a worker's lease have passed,
+    /// no task that this instance granted a lease for can still be running.
     pub(super) fn drop_workers_without_store(&mut self) {
         let limit = self.settings.timings.unattended;
         if self.workers.is_empty() || self.now <= self.lease.last_answered_scan + limit {
@@ -75,6 +76,7 @@
         self.workers.clear();
     }
 
+    /// Records a partition row, unless the same or a later version is known.
     pub(super) fn record_partition(
         &mut self,
         key: PartitionKey,
@@ -91,7 +93,7 @@
         self.partition_rows.insert(key, (row, version));
     }
 
-    /// Claims what should be owned here, and releases what should be owned elsewhere.
+    /// Claims the partitions that are assigned to this instance, and marks those of others for release.
     pub(super) fn reconcile_ownership(&mut self) {
         if !self.lease.registered {
             return;
@@ -108,13 +110,13 @@
         let owners = assign_partitions(&keys, &candidates);
         let mut moves = 0;
         for (key, desired) in owners {
-            let mine = desired == self.settings.detail.name;
-            if mine && !self.owns(key) {
+            let assigned_here = desired == self.settings.detail.name;
+            if assigned_here && !self.owns(key) {
                 self.try_claim(key);
-            } else if !mine && self.owns(key) && moves < MOVES_PER_SCAN {
+            } else if !assigned_here && self.owns(key) && moves < MOVES_PER_SCAN {
                 moves += 1;
                 self.releasing.insert(key);
-            } else if mine {
+            } else if assigned_here {
                 self.releasing.remove(&key);
             }
         }
@@ -128,7 +130,7 @@
         workers.chain(teams).collect()
     }
 
-    /// Tells whether the instance holds a partition's state.
+    /// Returns whether this instance acts as the owner of a partition.
     pub(super) fn owns(&self, key: PartitionKey) -> bool {
         if key.is_team() {
             self.teams.contains_key(&key.index)
@@ -137,10 +139,12 @@
         }
     }
 
+    /// Returns whether a partition row names this incarnation as the owner.
     pub(super) fn is_own_row(&self, row: &PartitionRow) -> bool {
         row.owner == self.settings.detail.name && row.incarnation == self.incarnation
     }
 
+    /// Drops partitions whose rows name another owner or epoch.
     pub(super) fn drop_lost_partitions(&mut self) {
         let lost: Vec<PartitionKey> = self
             .partition_rows
@@ -155,6 +159,7 @@
         }
     }
 
+    /// Returns the epoch under which this instance owns a partition, or zero.
     pub(super) fn owned_epoch(&self, key: PartitionKey) -> u64 {
         if key.is_team() {
             self.teams.get(&key.index).map_or(0, TeamPartition::epoch)
@@ -179,7 +184,7 @@
         self.teams.remove(&index);
     }
 
-    /// Takes up partitions whose claim took effect although its answer was lost.
+    /// Takes over partitions whose claim took effect although its answer was lost.
     pub(super) fn adopt_claimed_partitions(&mut self) {
         let claimed: Vec<(PartitionKey, PartitionRow, RowVersion)> = self
             .partition_rows
@@ -192,6 +197,7 @@
         }
     }
 
+    /// Revokes the incarnations of peers whose rows have not changed for longer than a lease.
     pub(super) fn revoke_unresponsive_members(&mut self) {
         let lease = self.settings.timings.instance_lease;
         for (mut row, version) in self.roster.unresponsive(lease) {
@@ -207,14 +213,15 @@
         }
     }
 
+    /// Claims a partition if it has no owner or its owner's incarnation has ended.
     pub(super) fn try_claim(&mut self, key: PartitionKey) {
         let known = self.partition_rows.get(&key);
         let (version, epoch, vacant) = match known {
             None => (0, 0, true),
             Some((row, version)) => {
-                let over =
+                let is_vacant =
                     row.owner.is_empty() || self.roster.has_ended(&row.owner, row.incarnation);
-                (*version, row.epoch, over)
+                (*version, row.epoch, is_vacant)
             }
         };
         let claiming = self.store_tickets.values().any(
@@ -254,6 +261,7 @@
         }
     }
 
+    /// Becomes the owner of a claimed partition and schedules the read of its rows.
     pub(super) fn take_over(&mut self, key: PartitionKey, row: &PartitionRow, version: RowVersion) {
         self.tally.claims += 1;
         let index = key.index;
@@ -278,7 +286,7 @@
         }
     }
 
-    /// The state of an instance, as this one sees it.
+    /// Returns the state of an instance by the scans of this one, or `None` if it has no row.
     pub(super) fn member_state(&self, name: &str) -> Option<MemberState> {
         let lease = self.settings.timings.instance_lease;
         self.roster.state_of(name, lease)
--- a/crates/bankvalve_cell/src/instance/peers.rs
+++ b/crates/bankvalve_cell/src/instance/peers.rs
@@ -1,4 +1,4 @@
-//! Messages to and from peers: batched, numbered, taken once and in order.
+//! Messages to and from peers, in numbered batches that are handled once and in order.
 
 use std::collections::BTreeMap;
 
@@ -9,35 +9,38 @@
 use crate::owner::GuardName;
 use crate::refusal::RefusalReason;
 
-/// Messages that wait for one peer at most; the oldest are dropped.
+/// Maximum number of messages that wait for one peer; further messages are dropped.
 const OUTBOX_LIMIT: usize = 4_096;
 
-/// Messages that wait for a peer.
+/// Messages that wait to be sent to a peer.
 #[derive(Clone, Debug, Default)]
 struct PeerOutbox {
     messages: Vec<PeerMessage>,
+    /// Sequence of the last batch sent.
     sequence: u64,
-    next: CellTime,
-    last: CellTime,
+    /// Earliest time of the next batch.
+    next_send: CellTime,
+    last_sent: CellTime,
 }
 
-/// What is known of the links to peers.
+/// State of the links to all peers.
 #[derive(Clone, Debug, Default)]
 pub(super) struct PeerState {
     outboxes: BTreeMap<InstanceName, PeerOutbox>,
-    taken: BTreeMap<InstanceName, (Incarnation, u64)>,
+    /// Incarnation and sequence of the last batch handled from each peer.
+    last_received: BTreeMap<InstanceName, (Incarnation, u64)>,
     next_heartbeat: CellTime,
 }
 
 impl PeerState {
-    /// Begins a new life: messages of the last one are not sent any more.
+    /// Discards messages of the previous incarnation that were not sent.
     pub(super) fn begin_incarnation(&mut self) {
         self.outboxes.clear();
     }
 }
 
 impl InstanceCore {
-    /// Puts a message in line for a peer.
+    /// Queues a message for a peer.
     pub(super) fn send_to_peer(&mut self, to: &InstanceName, message: PeerMessage) {
         let outbox = self.peers.outboxes.entry(to.clone()).or_default();
         if outbox.messages.len() >= OUTBOX_LIMIT {
@@ -47,14 +50,14 @@
         outbox.messages.push(message);
     }
 
-    /// Puts a message in line for all peers.
+    /// Queues a message for all live or stopping peers.
     pub(super) fn send_to_all_peers(&mut self, message: &PeerMessage) {
         for to in self.peer_names() {
             self.send_to_peer(&to, message.clone());
         }
     }
 
-    /// Names of the peers that live.
+    /// Returns the names of the peers that are live or stopping.
     pub(super) fn peer_names(&self) -> Vec<InstanceName> {
         let lease = self.settings.timings.instance_lease;
         self.roster
@@ -65,15 +68,15 @@
             .collect()
     }
 
-    /// Sends what waits for peers, one batch for each.
+    /// Sends the queued messages to each peer whose next batch is due, as one batch per peer.
     pub(super) fn send_batches(&mut self) {
-        let pace = self.settings.timings.peer_pace;
+        let batch_interval = self.settings.timings.peer_pace;
         let now = self.now;
         let due: Vec<InstanceName> = self
             .peers
             .outboxes
             .iter()
-            .filter(|(_, outbox)| !outbox.messages.is_empty() && outbox.next <= now)
+            .filter(|(_, outbox)| !outbox.messages.is_empty() && outbox.next_send <= now)
             .map(|(name, _)| name.clone())
             .collect();
         for to in due {
@@ -83,8 +86,8 @@
             };
             let address = row.detail.peer_address.clone();
             let outbox = self.peers.outboxes.get_mut(&to).expect("due");
-            outbox.next = now + pace;
-            outbox.last = now;
+            outbox.next_send = now + batch_interval;
+            outbox.last_sent = now;
             outbox.sequence += 1;
             let batch = PeerBatch {
                 from: self.settings.detail.name.clone(),
@@ -97,7 +100,7 @@
         }
     }
 
-    /// Tells peers that have heard nothing for a while that the instance lives.
+    /// Sends a heartbeat to each peer to which no batch was sent for a heartbeat interval.
     pub(super) fn run_heartbeats(&mut self) {
         if self.now < self.peers.next_heartbeat || !self.lease.is_registered() {
             return;
@@ -105,35 +108,39 @@
         let interval = self.settings.timings.peer_heartbeat;
         self.peers.next_heartbeat = self.now + interval / 4;
         for to in self.peer_names() {
-            let last = self.peers.outboxes.get(&to).map(|outbox| outbox.last);
+            let last = self.peers.outboxes.get(&to).map(|outbox| outbox.last_sent);
             if last.is_none_or(|last| self.now >= last + interval) {
                 self.send_to_peer(&to, PeerMessage::Heartbeat);
             }
         }
     }
 
-    /// Takes a peer's batch, unless it is late or repeated.
+    /// Handles a peer's batch, unless it is late or repeated.
     pub(super) fn handle_batch(&mut self, batch: PeerBatch) {
-        let place = (batch.incarnation, batch.sequence);
-        let taken = self.peers.taken.entry(batch.from.clone()).or_default();
-        if place <= *taken && self.settings.guards.enforces(GuardName::PeerOrder) {
+        let position = (batch.incarnation, batch.sequence);
+        let last_received = self
+            .peers
+            .last_received
+            .entry(batch.from.clone())
+            .or_default();
+        if position <= *last_received && self.settings.guards.enforces(GuardName::PeerOrder) {
             self.tally.peer_batches_dropped += 1;
             return;
         }
-        *taken = (*taken).max(place);
+        *last_received = (*last_received).max(position);
         self.poll_newer_bundle(batch.bundle);
         for message in batch.messages {
             self.handle_message(&batch.from, message);
         }
     }
 
-    /// Takes a message of a peer, or of this instance itself.
+    /// Handles a message from a peer, or from this instance to itself.
     pub(super) fn handle_message(&mut self, from: &InstanceName, message: PeerMessage) {
         match message {
             PeerMessage::Heartbeat => {}
             PeerMessage::OwnerChanged => self.lease.scan_soon(),
             PeerMessage::Digest(digest) => self.digest_cache.update(self.now, digest),
-            PeerMessage::Points(points) => self.handle_points(points),
+            PeerMessage::Points(points) => self.handle_endpoints(points),
             PeerMessage::Place {
                 partition,
                 epoch,
@@ -173,7 +180,10 @@
         }
     }
 
-    /// Tells whether a worker partition is owned here under an epoch.
+    /// Returns whether this instance owns a worker partition under an epoch, has its roster, and is not
+    /// releasing it.
+    ///
+    /// Counts a refusal otherwise.
     fn is_current(&mut self, partition: u32, epoch: u64) -> bool {
         let owner = self.workers.get(&partition);
         let releasing = self.releasing.contains(&PartitionKey::worker(partition));
--- a/crates/bankvalve_cell/src/instance/routes.rs
+++ b/crates/bankvalve_cell/src/instance/routes.rs
@@ -1,18 +1,18 @@
-//! What the request path needs to know: where services run and which workers are owned here.
+//! Data for the routing of service requests: running service tasks, and workers owned by this instance.
 
 use super::InstanceCore;
 use crate::ids::{Epoch, InstanceName, PartitionIndex, RegionName, WorkerName};
 use crate::link::{PartitionEndpoints, ServiceEndpoint};
 use crate::membership::PartitionKey;
 
-/// A running task of a service, and the instance to reach it through.
+/// A running task of a service, and the instance through which it is reached.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ServiceRoute {
-    /// The task.
+    /// The service, its task and the worker that runs it.
     pub endpoint: ServiceEndpoint,
     /// Region of its worker.
     pub region: RegionName,
-    /// Owner of the worker's partition.
+    /// Owner of the worker's partition; requests to the task go through it.
     pub owner: InstanceName,
     /// Address of the owner's peer listener.
     pub owner_address: String,
@@ -29,17 +29,17 @@
     pub partition: PartitionIndex,
     /// The owner's epoch.
     pub epoch: Epoch,
-    /// Requests that it serves at once.
+    /// Maximum number of requests that it serves at once.
     pub slots: u32,
-    /// Connections that it accepts at once.
+    /// Maximum number of connections that it accepts at once.
     pub connections: u32,
 }
 
 impl InstanceCore {
-    /// Where services run, as last heard.
+    /// Returns routes to the running service tasks, by the latest lists of the worker partitions.
     pub fn service_routes(&self) -> Vec<ServiceRoute> {
         let mut routes = Vec::new();
-        for list in self.points.values() {
+        for list in self.service_endpoints.values() {
             let key = PartitionKey::worker(list.partition);
             let Some((row, _)) = self.partition_rows.get(&key) else {
                 continue;
@@ -57,16 +57,16 @@
         routes
     }
 
-    /// Takes in a list of running tasks of services, unless a later one is known.
-    pub(super) fn handle_points(&mut self, list: PartitionEndpoints) {
-        let place = |list: &PartitionEndpoints| (list.epoch, list.sequence);
-        let known = self.points.get(&list.partition);
-        if known.is_none_or(|known| place(known) < place(&list)) {
-            self.points.insert(list.partition, list);
+    /// Records a worker partition's list of running service tasks, unless the same or a later one is known.
+    pub(super) fn handle_endpoints(&mut self, list: PartitionEndpoints) {
+        let sequence_of = |list: &PartitionEndpoints| (list.epoch, list.sequence);
+        let known = self.service_endpoints.get(&list.partition);
+        if known.is_none_or(|known| sequence_of(known) < sequence_of(&list)) {
+            self.service_endpoints.insert(list.partition, list);
         }
     }
 
-    /// Workers that this instance may send requests to.
+    /// Returns the workers that this instance may send service requests to.
     pub fn owned_workers(&self) -> Vec<OwnedWorker> {
         self.workers
             .values()
--- a/crates/bankvalve_cell/src/instance/store_requests.rs
+++ b/crates/bankvalve_cell/src/instance/store_requests.rs
@@ -1,4 +1,4 @@
-//! Requests to the platform's services that wait for an answer.
+//! Open requests to the table service and the object store, and dispatch of their outcomes.
 
 use super::InstanceCore;
 use crate::ids::{CellTime, Epoch, Incarnation, PartitionIndex, Ticket};
@@ -7,7 +7,7 @@
 use crate::owner::TeamPartition;
 use crate::refusal::RetryReason;
 
-/// What a request to the table service was for.
+/// Purpose of a request to the table service, by which its outcome is dispatched.
 #[derive(Clone, Debug)]
 pub(super) enum StorePurpose {
     ReadOwnRow,
@@ -48,14 +48,14 @@
     Deregister,
 }
 
-/// What a request to the object store was for.
+/// Purpose of a request to the object store.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum ObjectPurpose {
     Archive(PartitionIndex),
 }
 
 impl InstanceCore {
-    /// Takes an answer of the table service, or the lack of one.
+    /// Handles the outcome of a request to the table service.
     pub(super) fn handle_store_outcome(&mut self, ticket: Ticket, outcome: StoreOutcome) {
         let Some((purpose, _)) = self.store_tickets.remove(&ticket) else {
             return;
@@ -90,7 +90,7 @@
         }
     }
 
-    /// Counts requests that the driver never answered as lost.
+    /// Handles requests that the driver has not reported on within two timeouts as lost.
     pub(super) fn expire_store_tickets(&mut self) {
         let limit = self.settings.timings.store_answer * 2;
         let now = self.now;
@@ -105,7 +105,7 @@
         }
     }
 
-    /// Takes an answer of the object store, or the lack of one.
+    /// Handles the outcome of a request to the object store.
     pub(super) fn handle_object_outcome(&mut self, ticket: Ticket, outcome: &ObjectOutcome) {
         let Some(purpose) = self.object_tickets.remove(&ticket) else {
             return;
@@ -129,7 +129,7 @@
         self.send_store_request(purpose, StoreRequest::Read { key });
     }
 
-    /// Writes a worker partition's roster, if the partition is still owned.
+    /// Writes a worker partition's roster, if this instance still owns the partition.
     pub(super) fn write_roster(&mut self, index: PartitionIndex, roster: WorkerRoster) {
         let Some(owner) = self.workers.get(&index) else {
             return;
@@ -159,13 +159,15 @@
         }
         match outcome {
             StoreOutcome::Rows(rows) => {
-                let mut whole = false;
-                self.with_team_partition(index, |owner, _, ctx| whole = owner.load(&rows, ctx));
-                if !whole {
-                    self.load_later(PartitionKey::team(index));
+                let mut consistent = false;
+                self.with_team_partition(index, |owner, _, ctx| {
+                    consistent = owner.load(&rows, ctx)
+                });
+                if !consistent {
+                    self.retry_load_later(PartitionKey::team(index));
                 }
             }
-            _ => self.load_later(PartitionKey::team(index)),
+            _ => self.retry_load_later(PartitionKey::team(index)),
         }
     }
 
@@ -177,7 +179,7 @@
             return;
         }
         let StoreOutcome::Rows(rows) = outcome else {
-            self.load_later(PartitionKey::worker(index));
+            self.retry_load_later(PartitionKey::worker(index));
             return;
         };
         let decode = |row: &RowImage| Some((WorkerRoster::decode(&row.value)?, row.version));
@@ -207,7 +209,7 @@
             }
             _ => {
                 owner.roster_failed();
-                self.load_later(PartitionKey::worker(index));
+                self.retry_load_later(PartitionKey::worker(index));
                 self.lease.scan_soon();
             }
         }
