--- a/crates/bankvalve_cell/src/ledger/job_state.rs
+++ b/crates/bankvalve_cell/src/ledger/job_state.rs
@@ -9,7 +9,7 @@
 use crate::machine::TaskSize;
 
 /// Failed attempts after which a task is given up.
-pub const FAILURE_LIMIT: u32 = 3;
+pub const MAX_FAILED_ATTEMPTS: u32 = 3;
 /// Room added, in percent, to the usage seen of a task that overran its declaration.
 const OVERRUN_MARGIN_PERCENT: u32 = 10;
 
@@ -152,8 +152,8 @@
 
     /// The job's phase.
     pub fn phase(&self) -> JobPhase {
-        let over = |task: &TaskState| matches!(task.phase, TaskPhase::Done(_));
-        if !self.tasks.iter().all(over) {
+        let finished = |task: &TaskState| matches!(task.phase, TaskPhase::Done(_));
+        if !self.tasks.iter().all(finished) {
             return JobPhase::Active;
         }
         if self.cancelled {
@@ -195,7 +195,7 @@
 
     /// Applies the end of an attempt on a worker.
     pub fn apply_end(&mut self, task: u32, outcome: TaskOutcome, ran_ms: u64, peak: TaskSize) {
-        self.correct(outcome, ran_ms, peak);
+        self.update_estimates(outcome, ran_ms, peak);
         let service = self.spec.service().is_some();
         let repeatable = self.spec.repeatable;
         let cancelled = self.cancelled;
@@ -204,17 +204,17 @@
         if failed {
             state.failures += 1;
         }
-        let again = !cancelled
+        let runs_again = !cancelled
             && repeatable
             && match outcome {
                 TaskOutcome::Succeeded => service,
                 TaskOutcome::Failed | TaskOutcome::Overran => {
-                    service || state.failures < FAILURE_LIMIT
+                    service || state.failures < MAX_FAILED_ATTEMPTS
                 }
                 TaskOutcome::Preempted | TaskOutcome::LeaseLapsed => true,
                 TaskOutcome::Cancelled | TaskOutcome::Unknown => false,
             };
-        state.phase = if again {
+        state.phase = if runs_again {
             TaskPhase::Waiting
         } else {
             TaskPhase::Done(outcome)
@@ -243,7 +243,7 @@
         }
     }
 
-    fn correct(&mut self, outcome: TaskOutcome, ran_ms: u64, peak: TaskSize) {
+    fn update_estimates(&mut self, outcome: TaskOutcome, ran_ms: u64, peak: TaskSize) {
         if outcome == TaskOutcome::Succeeded {
             self.ran_ms_sum += ran_ms;
             self.ran_count += 1;
--- a/crates/bankvalve_cell/src/ledger/ledger_batch.rs
+++ b/crates/bankvalve_cell/src/ledger/ledger_batch.rs
@@ -82,7 +82,7 @@
     ///
     /// Never: every field can be encoded.
     pub fn encode(sequence: u64, chain: &ChainHash, archived: u64, ledger: &TeamLedger) -> Vec<u8> {
-        let snapshot = SnapshotView {
+        let snapshot = SnapshotRef {
             sequence,
             chain,
             archived,
@@ -99,7 +99,7 @@
 
 /// A snapshot about to be written.
 #[derive(Serialize)]
-struct SnapshotView<'a> {
+struct SnapshotRef<'a> {
     sequence: u64,
     #[serde(with = "serde_bytes")]
     chain: &'a ChainHash,
@@ -143,7 +143,7 @@
     /// A batch cannot be decoded.
     Unreadable {
         /// Place in the order given, from zero.
-        place: usize,
+        index: usize,
     },
     /// A batch is missing or out of order.
     Sequence {
@@ -162,7 +162,7 @@
 impl std::fmt::Display for ChainProblem {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            ChainProblem::Unreadable { place } => write!(f, "entry {place} cannot be decoded"),
+            ChainProblem::Unreadable { index } => write!(f, "entry {index} cannot be decoded"),
             ChainProblem::Sequence { expected, found } => {
                 write!(f, "expected batch {expected}, found batch {found}")
             }
@@ -201,8 +201,8 @@
 pub fn verify_chain<'a>(batches: impl Iterator<Item = &'a [u8]>) -> Result<u64, ChainProblem> {
     let mut previous = ChainHash::default();
     let mut expected = 1;
-    for (place, bytes) in batches.enumerate() {
-        let batch = LedgerBatch::decode(bytes).ok_or(ChainProblem::Unreadable { place })?;
+    for (index, bytes) in batches.enumerate() {
+        let batch = LedgerBatch::decode(bytes).ok_or(ChainProblem::Unreadable { index })?;
         if batch.sequence != expected {
             return Err(ChainProblem::Sequence {
                 expected,
--- a/crates/bankvalve_cell/src/ledger/mod.rs
+++ b/crates/bankvalve_cell/src/ledger/mod.rs
@@ -5,7 +5,7 @@
 mod ledger_event;
 mod team_ledger;
 
-pub use job_state::{JobPhase, JobState, TaskPhase, TaskState, FAILURE_LIMIT};
+pub use job_state::{JobPhase, JobState, TaskPhase, TaskState, MAX_FAILED_ATTEMPTS};
 pub use ledger_batch::{
     read_batches, verify_chain, BatchWriter, ChainHash, ChainProblem, LedgerBatch, LedgerSnapshot,
     RecordSegment,
--- a/crates/bankvalve_cell/src/ledger/team_ledger.rs
+++ b/crates/bankvalve_cell/src/ledger/team_ledger.rs
@@ -10,7 +10,7 @@
 use crate::machine::TaskSize;
 
 /// Jobs that are over and still answerable from the partition's state.
-const CLOSED_LIMIT: usize = 1_000;
+const MAX_CLOSED_JOBS: usize = 1_000;
 
 /// Jobs of a team partition, as the committed events leave them.
 ///
@@ -95,17 +95,17 @@
                 }
             }
             LedgerEvent::Cancelled { team, job, .. } => {
-                self.change(team, job, JobState::apply_cancel);
+                self.update_job(team, job, JobState::apply_cancel);
             }
             LedgerEvent::GangCommitted { team, job, .. } => {
-                self.change(team, job, |state| state.gang_committed = true);
+                self.update_job(team, job, |state| state.gang_committed = true);
             }
             LedgerEvent::Intended {
                 key,
                 partition,
                 epoch,
                 ..
-            } => self.change(&key.team, &key.job, |state| {
+            } => self.update_job(&key.team, &key.job, |state| {
                 state.gang_committed = false;
                 let task = &mut state.tasks[key.task as usize];
                 task.attempt = key.attempt;
@@ -123,7 +123,7 @@
                 domain,
                 rack,
                 at,
-            } if self.is_active(key) => self.change(&key.team, &key.job, |state| {
+            } if self.is_active(key) => self.update_job(&key.team, &key.job, |state| {
                 let task = &mut state.tasks[key.task as usize];
                 task.worker = Some(worker.clone());
                 task.domain = Some(domain.clone());
@@ -134,7 +134,7 @@
                 }
             }),
             LedgerEvent::Released { key, reason, .. } if self.is_active(key) => {
-                self.change(&key.team, &key.job, |state| {
+                self.update_job(&key.team, &key.job, |state| {
                     state.apply_release(key.task, *reason);
                 });
             }
@@ -145,7 +145,7 @@
                 ran_ms,
                 peak,
                 ..
-            } if self.is_active(key) => self.change(&key.team, &key.job, |state| {
+            } if self.is_active(key) => self.update_job(&key.team, &key.job, |state| {
                 state.tasks[key.task as usize].worker = Some(worker.clone());
                 state.apply_end(key.task, *outcome, *ran_ms, *peak);
             }),
@@ -153,14 +153,14 @@
         }
     }
 
-    fn change(&mut self, team: &str, job: &str, edit: impl FnOnce(&mut JobState)) {
+    fn update_job(&mut self, team: &str, job: &str, edit: impl FnOnce(&mut JobState)) {
         let Some(state) = self.teams.get_mut(team).and_then(|jobs| jobs.get_mut(job)) else {
             return;
         };
-        let before = reserved(state);
+        let before = reserved_size(state);
         let was_active = state.phase() == JobPhase::Active;
         edit(state);
-        let after = reserved(state);
+        let after = reserved_size(state);
         let closes = was_active && state.phase() != JobPhase::Active;
         let usage = self.usage.entry(team.to_owned()).or_default();
         *usage = usage.plus(after).minus(before);
@@ -171,7 +171,7 @@
 
     fn close(&mut self, team: &str, job: &str) {
         self.closed.push_back((team.to_owned(), job.to_owned()));
-        if self.closed.len() <= CLOSED_LIMIT {
+        if self.closed.len() <= MAX_CLOSED_JOBS {
             return;
         }
         let Some((team, job)) = self.closed.pop_front() else {
@@ -183,7 +183,7 @@
     }
 }
 
-fn reserved(state: &JobState) -> TaskSize {
+fn reserved_size(state: &JobState) -> TaskSize {
     let active = state.tasks.iter().filter(|task| task.is_active()).count();
     state.reserve.times(active as u32)
 }
--- a/crates/bankvalve_cell/src/membership/partition_row.rs
+++ b/crates/bankvalve_cell/src/membership/partition_row.rs
@@ -130,7 +130,7 @@
     format!("{INSTANCE_PREFIX}{name}")
 }
 
-macro_rules! stored {
+macro_rules! impl_row_encoding {
     ($($row:ty),*) => {
         $(impl $row {
             /// Encodes the row as it is stored.
@@ -150,4 +150,4 @@
     };
 }
 
-stored!(PartitionRow, InstanceRow, WorkerRoster);
+impl_row_encoding!(PartitionRow, InstanceRow, WorkerRoster);
--- a/crates/bankvalve_cell/src/membership/rendezvous.rs
+++ b/crates/bankvalve_cell/src/membership/rendezvous.rs
@@ -53,9 +53,11 @@
     for (key, region) in partitions {
         let eligible = eligible_for(region.as_ref(), candidates);
         let total: u64 = eligible.iter().map(|member| u64::from(member.weight)).sum();
-        let same = partitions
+        let partition_count = partitions
             .iter()
-            .filter(|(other, place)| other.is_team() == key.is_team() && place == region)
+            .filter(|(other, other_region)| {
+                other.is_team() == key.is_team() && other_region == region
+            })
             .count() as u64;
         let mut ranked = eligible;
         ranked.sort_by(|a, b| {
@@ -66,7 +68,8 @@
         });
         let has_capacity = |member: &&&Candidate| {
             let load = loads.get(&(key.is_team(), member.name.as_str()));
-            load.copied().unwrap_or(0) < load_bound(same, u64::from(member.weight), total)
+            load.copied().unwrap_or(0)
+                < load_bound(partition_count, u64::from(member.weight), total)
         };
         let chosen = ranked.iter().find(has_capacity).or_else(|| ranked.first());
         if let Some(member) = chosen {
@@ -82,14 +85,14 @@
 }
 
 fn eligible_for<'a>(region: Option<&RegionName>, all: &'a [Candidate]) -> Vec<&'a Candidate> {
-    let near: Vec<_> = all
+    let in_region: Vec<_> = all
         .iter()
         .filter(|member| region.is_none_or(|region| *region == member.region))
         .collect();
-    if near.is_empty() {
+    if in_region.is_empty() {
         all.iter().collect()
     } else {
-        near
+        in_region
     }
 }
 
--- a/crates/bankvalve_cell/src/placement/partition_choice.rs
+++ b/crates/bankvalve_cell/src/placement/partition_choice.rs
@@ -14,7 +14,7 @@
 /// Groups that are drawn and compared for one task.
 const SAMPLE_SIZE: usize = 6;
 /// Queued tasks for each worker up to which a partition takes tasks ahead of room.
-const QUEUE_PER_WORKER: u32 = 2;
+const MAX_QUEUED_PER_WORKER: u32 = 2;
 
 /// What is sought for a task.
 #[derive(Clone, Debug)]
@@ -66,8 +66,8 @@
     /// Takes in a digest, unless a later one is known.
     pub fn update(&mut self, now: CellTime, digest: PartitionDigest) {
         let known = self.entries.get(&digest.partition);
-        let place = |digest: &PartitionDigest| (digest.epoch, digest.sequence);
-        if known.is_some_and(|entry| place(&entry.digest) >= place(&digest)) {
+        let digest_version = |digest: &PartitionDigest| (digest.epoch, digest.sequence);
+        if known.is_some_and(|entry| digest_version(&entry.digest) >= digest_version(&digest)) {
             return;
         }
         let received = now;
@@ -97,15 +97,15 @@
             group
                 .largest
                 .iter()
-                .any(|room| requirements.need.fits_in(*room))
+                .any(|capacity| requirements.need.fits_in(*capacity))
         };
-        let with_room: Vec<_> = admitted
+        let with_capacity: Vec<_> = admitted
             .iter()
             .copied()
             .filter(|(_, group)| fits(group))
             .collect();
-        if !with_room.is_empty() {
-            return self.best_of(&with_room, requirements, policy, rng);
+        if !with_capacity.is_empty() {
+            return self.best_of_sample(&with_capacity, requirements, policy, rng);
         }
         if requirements.urgent {
             let preemptible: Vec<_> = admitted
@@ -115,10 +115,10 @@
                     group
                         .preemptible
                         .iter()
-                        .any(|room| requirements.need.fits_in(*room))
+                        .any(|capacity| requirements.need.fits_in(*capacity))
                 })
                 .collect();
-            if let Some(choice) = most_room(&preemptible) {
+            if let Some(choice) = largest_preemptible(&preemptible) {
                 return Some(choice);
             }
         }
@@ -132,7 +132,7 @@
     pub fn has_capacity(&self, choice: &PartitionChoice, need: TaskSize) -> bool {
         let entry = self.entries.get(&choice.partition);
         let mut groups = entry.into_iter().flat_map(|entry| &entry.digest.groups);
-        groups.any(|group| group.domain == choice.domain && room_for(group, need) > 0)
+        groups.any(|group| group.domain == choice.domain && fitting_task_count(group, need) > 0)
     }
 
     /// Deducts an assignment, so that the next choice sees the room taken.
@@ -148,22 +148,22 @@
             .find(|group| group.domain == choice.domain);
         let Some(group) = group else { return };
         if !need.fits_in(group.free) {
-            let room = group
+            let capacity = group
                 .preemptible
                 .iter_mut()
-                .find(|room| need.fits_in(**room));
-            if let Some(room) = room {
-                *room = room.minus(need);
+                .find(|capacity| need.fits_in(**capacity));
+            if let Some(capacity) = capacity {
+                *capacity = capacity.minus(need);
             }
         }
         group.free = group.free.minus(need);
         let fitting = group
             .largest
             .iter_mut()
-            .filter(|room| need.fits_in(**room))
-            .min_by_key(|room| room.millicores);
-        if let Some(room) = fitting {
-            *room = room.minus(need);
+            .filter(|capacity| need.fits_in(**capacity))
+            .min_by_key(|capacity| capacity.millicores);
+        if let Some(capacity) = fitting {
+            *capacity = capacity.minus(need);
             entry.digest.queued -= 1;
         }
     }
@@ -180,7 +180,7 @@
             .map(|(entry, group)| (&entry.digest, group))
     }
 
-    fn best_of(
+    fn best_of_sample(
         &self,
         groups: &[(&PartitionDigest, &CapacityGroup)],
         requirements: &PlacementRequirements<'_>,
@@ -188,13 +188,16 @@
         rng: &mut Pcg64Mcg,
     ) -> Option<PartitionChoice> {
         let sample = SAMPLE_SIZE.min(groups.len());
-        let drawn = rand::seq::index::sample(rng, groups.len(), sample);
+        let sampled = rand::seq::index::sample(rng, groups.len(), sample);
         let mut best: Option<(f64, usize)> = None;
-        for index in drawn {
+        for index in sampled {
             let score = if requirements.gang_size > 1 {
-                f64::from(room_for(groups[index].1, requirements.need).min(requirements.gang_size))
+                f64::from(
+                    fitting_task_count(groups[index].1, requirements.need)
+                        .min(requirements.gang_size),
+                )
             } else {
-                policy.score_partition(&view_of(groups[index].1, requirements, rng))
+                policy.score_partition(&score_input_of(groups[index].1, requirements, rng))
             };
             if best.is_none_or(|(other, _)| score > other) {
                 best = Some((score, index));
@@ -211,19 +214,19 @@
         .all(|rule| rule.admits(&digest.region, &group.domain))
 }
 
-fn view_of(
+fn score_input_of(
     group: &CapacityGroup,
     requirements: &PlacementRequirements<'_>,
     rng: &mut Pcg64Mcg,
 ) -> ScoreInput {
-    let largest_fitting = group
+    let smallest_fitting = group
         .largest
         .iter()
-        .filter(|room| requirements.need.fits_in(**room))
-        .min_by_key(|room| room.millicores);
+        .filter(|capacity| requirements.need.fits_in(**capacity))
+        .min_by_key(|capacity| capacity.millicores);
     ScoreInput {
         total: group.classes.first().copied().unwrap_or(group.free),
-        free: largest_fitting.copied().unwrap_or_default(),
+        free: smallest_fitting.copied().unwrap_or_default(),
         need: requirements.need,
         same_domain: requirements.spread.get(&group.domain).copied().unwrap_or(0),
         same_rack: 0,
@@ -233,8 +236,12 @@
 }
 
 /// Tasks that the roomiest workers of a group hold side by side.
-fn room_for(group: &CapacityGroup, need: TaskSize) -> u32 {
-    group.largest.iter().map(|room| room.count_of(need)).sum()
+fn fitting_task_count(group: &CapacityGroup, need: TaskSize) -> u32 {
+    group
+        .largest
+        .iter()
+        .map(|capacity| capacity.count_of(need))
+        .sum()
 }
 
 fn choice_of(digest: &PartitionDigest, group: &CapacityGroup, choices: usize) -> PartitionChoice {
@@ -246,7 +253,7 @@
     }
 }
 
-fn most_room(groups: &[(&PartitionDigest, &CapacityGroup)]) -> Option<PartitionChoice> {
+fn largest_preemptible(groups: &[(&PartitionDigest, &CapacityGroup)]) -> Option<PartitionChoice> {
     let best = groups
         .iter()
         .max_by_key(|(_, group)| group.preemptible.iter().max().copied())?;
@@ -257,7 +264,7 @@
     groups: &[(&PartitionDigest, &CapacityGroup)],
     requirements: &PlacementRequirements<'_>,
 ) -> Option<PartitionChoice> {
-    let could_hold = |group: &CapacityGroup| {
+    let can_fit = |group: &CapacityGroup| {
         group
             .classes
             .iter()
@@ -267,8 +274,8 @@
         |digest: &PartitionDigest| -> u32 { digest.groups.iter().map(|group| group.workers).sum() };
     let best = groups
         .iter()
-        .filter(|(_, group)| group.workers > 0 && could_hold(group))
-        .filter(|(digest, _)| digest.queued < workers(digest) * QUEUE_PER_WORKER)
+        .filter(|(_, group)| group.workers > 0 && can_fit(group))
+        .filter(|(digest, _)| digest.queued < workers(digest) * MAX_QUEUED_PER_WORKER)
         .min_by_key(|(digest, _)| digest.queued * 1_000 / workers(digest).max(1))?;
     Some(choice_of(best.0, best.1, groups.len()))
 }
--- a/crates/bankvalve_cell/src/placement/place_policy.rs
+++ b/crates/bankvalve_cell/src/placement/place_policy.rs
@@ -72,21 +72,21 @@
     /// ```
     pub fn tight() -> Self {
         let spread =
-            |view: &ScoreInput| -f64::from(view.same_domain) * 10.0 - f64::from(view.same_rack);
+            |input: &ScoreInput| -f64::from(input.same_domain) * 10.0 - f64::from(input.same_rack);
         Self::new(
             "tight",
-            move |view| {
-                if view.service {
-                    spread(view) + view.random_unit
+            move |input| {
+                if input.service {
+                    spread(input) + input.random_unit
                 } else {
-                    view.random_unit
+                    input.random_unit
                 }
             },
-            move |view| {
-                if view.service {
-                    spread(view) + left_share(view)
+            move |input| {
+                if input.service {
+                    spread(input) + remaining_share(input)
                 } else {
-                    -left_share(view)
+                    -remaining_share(input)
                 }
             },
         )
@@ -94,35 +94,39 @@
 
     /// Baseline: the place with the most room left.
     pub fn least_loaded() -> Self {
-        Self::new("least-loaded", left_share, left_share)
+        Self::new("least-loaded", remaining_share, remaining_share)
     }
 
     /// Baseline: any place that fits.
     pub fn random() -> Self {
-        Self::new("random", |view| view.random_unit, |view| view.random_unit)
+        Self::new(
+            "random",
+            |input| input.random_unit,
+            |input| input.random_unit,
+        )
     }
 
     /// Baseline: the first thin version packed partitions and workers alike.
     pub fn first_version() -> Self {
-        let score = |view: &ScoreInput| {
-            let left = left_share(view);
-            if view.service {
-                -f64::from(view.same_domain) * 10.0 - f64::from(view.same_rack) + left
+        let score = |input: &ScoreInput| {
+            let remaining = remaining_share(input);
+            if input.service {
+                -f64::from(input.same_domain) * 10.0 - f64::from(input.same_rack) + remaining
             } else {
-                -left
+                -remaining
             }
         };
         Self::new("first-version", score, score)
     }
 
     /// Score of a worker partition.
-    pub fn score_partition(&self, view: &ScoreInput) -> f64 {
-        (self.partition_score)(view)
+    pub fn score_partition(&self, input: &ScoreInput) -> f64 {
+        (self.partition_score)(input)
     }
 
     /// Score of a worker.
-    pub fn score_worker(&self, view: &ScoreInput) -> f64 {
-        (self.worker_score)(view)
+    pub fn score_worker(&self, input: &ScoreInput) -> f64 {
+        (self.worker_score)(input)
     }
 
     fn new(
@@ -139,9 +143,10 @@
 }
 
 /// Room left after the task, as the mean share of processors and memory.
-fn left_share(view: &ScoreInput) -> f64 {
-    let left = view.free.minus(view.need);
+fn remaining_share(input: &ScoreInput) -> f64 {
+    let remaining = input.free.minus(input.need);
     let share = |part: u32, whole: u32| f64::from(part) / f64::from(whole.max(1));
-    (share(left.millicores, view.total.millicores) + share(left.memory_mib, view.total.memory_mib))
+    (share(remaining.millicores, input.total.millicores)
+        + share(remaining.memory_mib, input.total.memory_mib))
         / 2.0
 }
--- a/crates/bankvalve_cell/src/placement/preempt_choice.rs
+++ b/crates/bankvalve_cell/src/placement/preempt_choice.rs
@@ -44,25 +44,25 @@
     mut candidates: Vec<VictimCandidate>,
 ) -> Option<(Vec<TaskId>, f64)> {
     candidates.sort_by(|a, b| a.cost.total_cmp(&b.cost).then_with(|| a.id.cmp(&b.id)));
-    let mut room = free;
-    let mut taken = Vec::new();
+    let mut available = free;
+    let mut chosen = Vec::new();
     for candidate in candidates {
-        if need.fits_in(room) {
+        if need.fits_in(available) {
             break;
         }
-        room = room.plus(candidate.size);
-        taken.push(candidate);
+        available = available.plus(candidate.size);
+        chosen.push(candidate);
     }
-    if !need.fits_in(room) {
+    if !need.fits_in(available) {
         return None;
     }
-    for index in (0..taken.len()).rev() {
-        let without = room.minus(taken[index].size);
+    for index in (0..chosen.len()).rev() {
+        let without = available.minus(chosen[index].size);
         if need.fits_in(without) {
-            room = without;
-            taken.remove(index);
+            available = without;
+            chosen.remove(index);
         }
     }
-    let cost = taken.iter().map(|victim| victim.cost).sum();
-    Some((taken.into_iter().map(|victim| victim.id).collect(), cost))
+    let cost = chosen.iter().map(|victim| victim.cost).sum();
+    Some((chosen.into_iter().map(|victim| victim.id).collect(), cost))
 }
--- a/crates/bankvalve_cell/src/tally.rs
+++ b/crates/bankvalve_cell/src/tally.rs
@@ -5,7 +5,7 @@
 use crate::refusal::{RefusalReason, RetryReason};
 
 /// Most breaches whose text is kept.
-const BREACH_LIMIT: usize = 32;
+const MAX_BREACH_TEXTS: usize = 32;
 
 /// Something that must always hold.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -109,7 +109,7 @@
             return;
         }
         self.breach_count += 1;
-        if self.breaches.len() < BREACH_LIMIT {
+        if self.breaches.len() < MAX_BREACH_TEXTS {
             self.breaches.push(format!("{}: {}", kind.as_str(), text()));
         }
     }
