--- a/crates/bankvalve_cell/src/ledger/job_state.rs
+++ b/crates/bankvalve_cell/src/ledger/job_state.rs
@@ -1,4 +1,4 @@
-//! State of one job, as the ledger's events leave it.
+//! State of one job, built from the ledger's events.
 
 use serde::{Deserialize, Serialize};
 
@@ -8,50 +8,50 @@
 use crate::link::TaskOutcome;
 use crate::machine::TaskSize;
 
-/// Failed attempts after which a task is given up.
+/// Failed attempts after which a task of a batch job or gang is not run again.
 pub const MAX_FAILED_ATTEMPTS: u32 = 3;
-/// Room added, in percent, to the usage seen of a task that overran its declaration.
+/// Margin in percent that is added to the peak memory of a task that exceeded its reservation.
 const OVERRUN_MARGIN_PERCENT: u32 = 10;
 
 /// Phase of a task.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum TaskPhase {
-    /// It waits to be assigned.
+    /// The task waits to be assigned.
     Waiting,
-    /// Its attempt is assigned to a worker partition and may run.
+    /// The latest attempt is assigned to a worker partition and may be running.
     Assigned {
-        /// The partition.
+        /// The worker partition.
         partition: PartitionIndex,
-        /// Epoch that the intent was recorded for.
+        /// The partition's epoch in the attempt's `Intended` event.
         epoch: Epoch,
     },
-    /// Its attempt was seen running.
+    /// The latest attempt was reported as running.
     Running {
-        /// The partition.
+        /// The worker partition.
         partition: PartitionIndex,
-        /// Epoch that the intent was recorded for.
+        /// The partition's epoch in the attempt's `Intended` event.
         epoch: Epoch,
     },
-    /// It is over.
+    /// The task has finished.
     Done(TaskOutcome),
 }
 
 /// State of a task.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TaskState {
-    /// Latest attempt, zero before the first.
+    /// Number of the latest attempt; zero before the first.
     pub attempt: Attempt,
-    /// Attempts that failed.
+    /// Number of failed attempts.
     pub failures: u32,
-    /// Its phase.
+    /// Phase of the task.
     pub phase: TaskPhase,
-    /// Worker that the latest attempt was seen on.
+    /// Worker that reported the latest attempt, if any has.
     pub worker: Option<WorkerName>,
     /// Failure domain of that worker.
     pub domain: Option<DomainName>,
     /// Rack of that worker.
     pub rack: Option<RackName>,
-    /// When an attempt was first seen running.
+    /// Time at which an attempt was first reported as running.
     pub first_started_at: Option<UnixMillis>,
 }
 
@@ -68,12 +68,12 @@
         }
     }
 
-    /// Tells whether an attempt may be running.
+    /// Returns whether the latest attempt may be running.
     pub fn is_active(&self) -> bool {
         self.placed_in().is_some()
     }
 
-    /// The partition and epoch of the active attempt.
+    /// Returns the worker partition and epoch of the active attempt, or `None` if no attempt is active.
     pub fn placed_in(&self) -> Option<(PartitionIndex, Epoch)> {
         match self.phase {
             TaskPhase::Assigned { partition, epoch } | TaskPhase::Running { partition, epoch } => {
@@ -87,18 +87,18 @@
 /// Phase of a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum JobPhase {
-    /// Some task is not over.
+    /// Some task has not finished.
     Active,
     /// All tasks succeeded.
     Done,
-    /// Some task failed or its outcome is unknown.
+    /// All tasks have finished, and some did not succeed.
     Failed,
-    /// It was cancelled.
+    /// The job was cancelled, and all its tasks have finished.
     Cancelled,
 }
 
 impl JobPhase {
-    /// Name as shown to people.
+    /// Returns the name used in command output.
     pub fn as_str(self) -> &'static str {
         match self {
             JobPhase::Active => "active",
@@ -112,28 +112,28 @@
 /// State of a job.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct JobState {
-    /// The job.
+    /// The job as submitted.
     pub spec: JobSpec,
-    /// Number in the order of acceptance inside the partition.
+    /// Position in the order in which the team partition accepted its jobs.
     pub order: u64,
-    /// When it was accepted.
+    /// Time at which the job was accepted.
     pub submitted_at: UnixMillis,
-    /// Whether it was cancelled.
+    /// Whether the job was cancelled.
     pub cancelled: bool,
-    /// Whether the gang's current attempts may start.
+    /// Whether the current attempts of the gang may start.
     pub gang_committed: bool,
-    /// Its tasks.
+    /// The job's tasks, by index.
     pub tasks: Vec<TaskState>,
-    /// Size to reserve for each task, corrected after overruns.
+    /// Size to reserve for each task: the declared size, with more memory once a task exceeded it.
     pub reserve: TaskSize,
-    /// Sum of run times of tasks that succeeded, in milliseconds.
+    /// Sum of the run times of attempts that succeeded, in milliseconds.
     pub ran_ms_sum: u64,
-    /// Number of tasks in that sum.
+    /// Number of attempts in `ran_ms_sum`.
     pub ran_count: u32,
 }
 
 impl JobState {
-    /// State of a job that was just accepted.
+    /// Creates the state of a job that was just accepted.
     pub fn new(spec: JobSpec, order: u64, submitted_at: UnixMillis) -> Self {
         let tasks = spec.tasks().map(|_| TaskState::new()).collect();
         let reserve = spec.size;
@@ -150,7 +150,7 @@
         }
     }
 
-    /// The job's phase.
+    /// Returns the job's phase.
     pub fn phase(&self) -> JobPhase {
         let finished = |task: &TaskState| matches!(task.phase, TaskPhase::Done(_));
         if !self.tasks.iter().all(finished) {
@@ -168,7 +168,8 @@
         }
     }
 
-    /// Expected run time of a task in milliseconds: learnt if any has finished, else declared.
+    /// Returns the expected run time of a task in milliseconds: the mean of the attempts that succeeded,
+    /// or the declared time if none has.
     pub fn expected_run_ms(&self) -> u64 {
         if self.ran_count == 0 {
             self.spec.run_time_ms
@@ -177,7 +178,7 @@
         }
     }
 
-    /// Tells whether a gang has an attempt that is active while another must start anew.
+    /// Returns whether the job is a gang of which some tasks are active while others wait to be assigned.
     pub fn is_broken_gang(&self) -> bool {
         let waiting = |task: &TaskState| task.phase == TaskPhase::Waiting;
         self.spec.is_gang()
@@ -185,7 +186,7 @@
             && self.tasks.iter().any(TaskState::is_active)
     }
 
-    /// Tells whether a task may be assigned now.
+    /// Returns whether a task may be assigned now. A gang's task may be assigned only while none is active.
     pub fn is_assignable(&self, task: u32) -> bool {
         if self.cancelled || self.tasks[task as usize].phase != TaskPhase::Waiting {
             return false;
@@ -193,7 +194,7 @@
         !self.spec.is_gang() || !self.tasks.iter().any(TaskState::is_active)
     }
 
-    /// Applies the end of an attempt on a worker.
+    /// Applies the end of an attempt, as a worker reported it.
     pub fn apply_end(&mut self, task: u32, outcome: TaskOutcome, ran_ms: u64, peak: TaskSize) {
         self.update_estimates(outcome, ran_ms, peak);
         let service = self.spec.service().is_some();
@@ -221,7 +222,7 @@
         };
     }
 
-    /// Applies the release of an attempt that no worker reported the end of.
+    /// Applies the release of an attempt whose end no worker reported.
     pub fn apply_release(&mut self, task: u32, reason: ReleaseReason) {
         let cancelled = self.cancelled;
         let repeatable = self.spec.repeatable;
@@ -233,7 +234,7 @@
         };
     }
 
-    /// Marks the job cancelled; tasks that wait are over at once.
+    /// Marks the job as cancelled. Tasks that wait to be assigned finish at once.
     pub fn apply_cancel(&mut self) {
         self.cancelled = true;
         for state in &mut self.tasks {
--- a/crates/bankvalve_cell/src/ledger/ledger_batch.rs
+++ b/crates/bankvalve_cell/src/ledger/ledger_batch.rs
@@ -1,7 +1,7 @@
-//! Batches of events as they stand in the table service and the object store.
+//! Batches of events as they are stored in the table service and the object store.
 //!
-//! Each batch carries the hash of the batch before it, so that a batch that
-//! is missing, altered or moved shows when the chain is verified.
+//! Each batch contains the hash of the batch before it. Verifying this chain
+//! detects a batch that is missing, altered or out of order.
 
 use serde::{Deserialize, Serialize};
 use sha2::{Digest, Sha256};
@@ -10,17 +10,17 @@
 use crate::ids::{Epoch, Incarnation, InstanceName, PartitionIndex};
 use crate::link::RowImage;
 
-/// Hash of a batch.
+/// SHA-256 hash of an encoded batch.
 pub type ChainHash = [u8; 32];
 
-/// Who wrote a batch.
+/// Owner of a team partition that wrote a batch.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BatchWriter {
     /// The entry instance.
     pub instance: InstanceName,
-    /// Its life.
+    /// Incarnation of the instance.
     pub incarnation: Incarnation,
-    /// Its epoch as owner of the partition.
+    /// The instance's epoch as owner of the partition.
     pub epoch: Epoch,
 }
 
@@ -29,33 +29,33 @@
 pub struct LedgerBatch {
     /// The team partition.
     pub partition: PartitionIndex,
-    /// Number in the partition, from one.
+    /// Number of the batch in the partition, counted from one.
     pub sequence: u64,
-    /// Hash of the batch before it; zeros for the first.
+    /// Hash of the batch before this one; zeros for the first.
     #[serde(with = "serde_bytes")]
     pub previous: ChainHash,
-    /// Who wrote it.
+    /// Owner that wrote the batch.
     pub writer: BatchWriter,
     /// The events, in order.
     pub events: Vec<LedgerEvent>,
 }
 
 impl LedgerBatch {
-    /// Encodes the batch as it is stored.
+    /// Encodes the batch for storage.
     ///
     /// # Panics
     ///
-    /// Never: every field can be encoded.
+    /// Does not panic: every field can be encoded.
     pub fn encode(&self) -> Vec<u8> {
         rmp_serde::to_vec_named(self).expect("a batch can be encoded")
     }
 
-    /// Decodes a stored batch.
+    /// Decodes a stored batch, or returns `None` if the bytes are not a batch.
     pub fn decode(bytes: &[u8]) -> Option<Self> {
         rmp_serde::from_slice(bytes).ok()
     }
 
-    /// Hash of an encoded batch.
+    /// Returns the hash of an encoded batch.
     pub fn hash_of(bytes: &[u8]) -> ChainHash {
         Sha256::digest(bytes).into()
     }
@@ -64,23 +64,23 @@
 /// Snapshot of a team partition's state after a batch.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LedgerSnapshot {
-    /// Last batch that the state includes.
+    /// Number of the last batch that the state includes.
     pub sequence: u64,
     /// Hash of that batch.
     #[serde(with = "serde_bytes")]
     pub chain: ChainHash,
-    /// Last batch that was archived to the object store.
+    /// Number of the last batch that was archived to the object store.
     pub archived: u64,
-    /// The state.
+    /// State after that batch.
     pub ledger: TeamLedger,
 }
 
 impl LedgerSnapshot {
-    /// Encodes a snapshot as it is stored, without copying the state.
+    /// Encodes a snapshot for storage, without copying the state.
     ///
     /// # Panics
     ///
-    /// Never: every field can be encoded.
+    /// Does not panic: every field can be encoded.
     pub fn encode(sequence: u64, chain: &ChainHash, archived: u64, ledger: &TeamLedger) -> Vec<u8> {
         let snapshot = SnapshotRef {
             sequence,
@@ -91,13 +91,13 @@
         rmp_serde::to_vec_named(&snapshot).expect("a snapshot can be encoded")
     }
 
-    /// Decodes a stored snapshot.
+    /// Decodes a stored snapshot, or returns `None` if the bytes are not a snapshot.
     pub fn decode(bytes: &[u8]) -> Option<Self> {
         rmp_serde::from_slice(bytes).ok()
     }
 }
 
-/// A snapshot about to be written.
+/// Snapshot that borrows its state, with the same encoding as [`LedgerSnapshot`].
 #[derive(Serialize)]
 struct SnapshotRef<'a> {
     sequence: u64,
@@ -107,7 +107,7 @@
     ledger: &'a TeamLedger,
 }
 
-/// Batches archived together as one object, byte for byte as committed.
+/// Batches archived together as one object. Each has the same bytes as when it was committed.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RecordSegment {
     /// The encoded batches, in order.
@@ -115,44 +115,46 @@
 }
 
 impl RecordSegment {
-    /// Encodes the segment as it is stored.
+    /// Encodes the segment for storage.
     ///
     /// # Panics
     ///
-    /// Never: every field can be encoded.
+    /// Does not panic: every field can be encoded.
     pub fn encode(&self) -> Vec<u8> {
         rmp_serde::to_vec_named(self).expect("a segment can be encoded")
     }
 
-    /// Decodes a stored segment.
+    /// Decodes a stored segment, or returns `None` if the bytes are not a segment.
     pub fn decode(bytes: &[u8]) -> Option<Self> {
         rmp_serde::from_slice(bytes).ok()
     }
 }
 
-/// Decodes the batches of log rows, in key order, skipping rows that are none.
+/// Decodes the batches in log rows and returns each with its encoded bytes, in the order of the rows.
+///
+/// Skips rows that cannot be decoded.
 pub fn read_batches<'a>(
     rows: impl Iterator<Item = &'a RowImage> + 'a,
 ) -> impl Iterator<Item = (LedgerBatch, Vec<u8>)> + 'a {
     rows.filter_map(|row| LedgerBatch::decode(&row.value).map(|batch| (batch, row.value.clone())))
 }
 
-/// What is wrong with a chain of batches.
+/// Fault found in a chain of batches.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ChainProblem {
     /// A batch cannot be decoded.
     Unreadable {
-        /// Place in the order given, from zero.
+        /// Index in the input, counted from zero.
         index: usize,
     },
     /// A batch is missing or out of order.
     Sequence {
-        /// Number that was expected.
+        /// Batch number that was expected.
         expected: u64,
-        /// Number that was found.
+        /// Batch number that was found.
         found: u64,
     },
-    /// A batch does not follow from the one before it: one of the two was altered.
+    /// A batch does not contain the hash of the one before it: one of the two was altered.
     Hash {
         /// Number of the batch whose predecessor does not match.
         sequence: u64,
@@ -168,17 +170,19 @@
             }
             ChainProblem::Hash { sequence } => write!(
                 f,
-                "batch {sequence} does not follow from the batch before it"
+                "batch {sequence} does not contain the hash of the batch before it"
             ),
         }
     }
 }
 
-/// Verifies that encoded batches form one unbroken chain from the first on.
+/// Verifies that encoded batches form an unbroken chain that starts with batch 1.
+///
+/// Returns the number of batches.
 ///
 /// # Errors
 ///
-/// Returns the first break.
+/// Returns the first fault in the chain.
 ///
 /// # Examples
 ///
--- a/crates/bankvalve_cell/src/ledger/ledger_event.rs
+++ b/crates/bankvalve_cell/src/ledger/ledger_event.rs
@@ -11,32 +11,32 @@
 use crate::machine::TaskSize;
 use crate::refusal::RefusalReason;
 
-/// Why an attempt is over without an outcome from a worker.
+/// Reason why an attempt has finished although no worker reported its end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ReleaseReason {
-    /// It certainly never ran.
+    /// The attempt is known never to have run.
     NotRun(RefusalReason),
-    /// It certainly runs nowhere now, but it may have run.
+    /// The attempt is known not to be running now, but it may have run.
     Lost,
 }
 
-/// Something that was decided or learnt about a job.
+/// Event of a team partition: a decision, a report about an attempt, or a change of owner.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum LedgerEvent {
-    /// An instance took the partition over.
+    /// An instance took over the team partition.
     OwnerTook {
         /// The instance.
         owner: InstanceName,
-        /// Its epoch.
+        /// The instance's epoch as owner.
         epoch: Epoch,
-        /// When.
+        /// Time of the event.
         at: UnixMillis,
     },
     /// A job was accepted.
     Submitted {
         /// The job.
         spec: Box<JobSpec>,
-        /// When.
+        /// Time of the event.
         at: UnixMillis,
     },
     /// A job was cancelled.
@@ -45,74 +45,74 @@
         team: TeamName,
         /// The job.
         job: JobId,
-        /// When.
+        /// Time of the event.
         at: UnixMillis,
     },
-    /// An attempt was assigned to a worker partition, which may start it from now on.
+    /// An attempt was assigned to a worker partition, which may start it once this event is committed.
     Intended {
         /// The attempt.
         key: TaskKey,
         /// The worker partition.
         partition: PartitionIndex,
-        /// The partition's epoch.
+        /// The worker partition's epoch.
         epoch: Epoch,
-        /// Bundle in force.
+        /// Version of the bundle in force.
         bundle: BundleVersion,
-        /// Partitions that were looked at and could have taken it.
+        /// Number of capacity groups that the partition was chosen from.
         choices: u32,
-        /// When.
+        /// Time of the event.
         at: UnixMillis,
     },
-    /// All tasks of a gang hold room; they may start from now on.
+    /// Capacity is reserved for all tasks of a gang, which may start once this event is committed.
     GangCommitted {
         /// The team.
         team: TeamName,
         /// The job.
         job: JobId,
-        /// When.
+        /// Time of the event.
         at: UnixMillis,
     },
-    /// An attempt was seen running.
+    /// An attempt was reported as running.
     Started {
         /// The attempt.
         key: TaskKey,
-        /// Where.
+        /// Worker that runs it.
         worker: WorkerName,
-        /// In which failure domain.
+        /// Failure domain of the worker.
         domain: DomainName,
-        /// In which rack.
+        /// Rack of the worker.
         rack: RackName,
-        /// When it was seen.
+        /// Time at which the report was handled.
         at: UnixMillis,
     },
-    /// An attempt is over and surely runs nowhere, with no outcome from a worker.
+    /// An attempt is known not to be running, and no worker reported its end.
     Released {
         /// The attempt.
         key: TaskKey,
-        /// Why.
+        /// Reason for the release.
         reason: ReleaseReason,
-        /// When.
+        /// Time of the event.
         at: UnixMillis,
     },
-    /// An attempt ended on a worker.
+    /// A worker reported the end of an attempt.
     Ended {
         /// The attempt.
         key: TaskKey,
-        /// Where.
+        /// Worker that ran it.
         worker: WorkerName,
-        /// How.
+        /// How the attempt ended.
         outcome: TaskOutcome,
-        /// Time that it ran, in milliseconds.
+        /// Run time in milliseconds.
         ran_ms: u64,
-        /// Largest usage seen.
+        /// Highest usage that the worker reported.
         peak: TaskSize,
-        /// When it was learnt.
+        /// Time at which the report was handled.
         at: UnixMillis,
     },
 }
 
 impl LedgerEvent {
-    /// The attempt that the event is about, if it is about one.
+    /// Returns the attempt that the event concerns, or `None` if it concerns none.
     pub fn key(&self) -> Option<&TaskKey> {
         match self {
             LedgerEvent::Intended { key, .. }
@@ -123,7 +123,7 @@
         }
     }
 
-    /// The team and job that the event is about, if it is about one.
+    /// Returns the team and job that the event concerns, or `None` if it concerns none.
     pub fn job(&self) -> Option<(&TeamName, &JobId)> {
         match self {
             LedgerEvent::Submitted { spec, .. } => Some((&spec.team, &spec.id)),
--- a/crates/bankvalve_cell/src/ledger/mod.rs
+++ b/crates/bankvalve_cell/src/ledger/mod.rs
@@ -1,4 +1,4 @@
-//! The ledger: what was decided about each job, in order, and the record made of it.
+//! The ledger: the ordered events of all jobs, the state that results from them, and their storage format.
 
 mod job_state;
 mod ledger_batch;
--- a/crates/bankvalve_cell/src/ledger/team_ledger.rs
+++ b/crates/bankvalve_cell/src/ledger/team_ledger.rs
@@ -1,4 +1,4 @@
-//! State of a team partition: a fold over the ledger's events.
+//! State of a team partition, built by applying the ledger's events in order.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -9,10 +9,10 @@
 use crate::link::{TaskId, TaskKey};
 use crate::machine::TaskSize;
 
-/// Jobs that are over and still answerable from the partition's state.
+/// Maximum number of finished jobs that are kept to answer requests about them.
 const MAX_CLOSED_JOBS: usize = 1_000;
 
-/// Jobs of a team partition, as the committed events leave them.
+/// Jobs of a team partition, as the committed events describe them.
 ///
 /// # Examples
 ///
@@ -37,12 +37,12 @@
 }
 
 impl TeamLedger {
-    /// A job by team and id.
+    /// Returns a job by team and id.
     pub fn job(&self, team: &str, job: &str) -> Option<&JobState> {
         self.teams.get(team)?.get(job)
     }
 
-    /// The tasks of a job; none if the job is not known.
+    /// Returns the tasks of a job, or an empty list if the job is not known.
     pub fn task_ids(&self, team: &str, job: &str) -> Vec<TaskId> {
         let state = self.job(team, job);
         let tasks = state.into_iter().flat_map(|state| state.spec.tasks());
@@ -55,34 +55,37 @@
             .collect()
     }
 
-    /// All jobs of a team.
+    /// Returns all jobs of a team.
     pub fn jobs_of(&self, team: &str) -> impl Iterator<Item = &JobState> {
         self.teams.get(team).into_iter().flat_map(BTreeMap::values)
     }
 
-    /// All jobs.
+    /// Returns all jobs.
     pub fn jobs(&self) -> impl Iterator<Item = &JobState> {
         self.teams.values().flat_map(BTreeMap::values)
     }
 
-    /// Room reserved for the active attempts of a team.
+    /// Returns the resources reserved for the active attempts of a team.
     pub fn usage_of(&self, team: &str) -> TaskSize {
         self.usage.get(team).copied().unwrap_or_default()
     }
 
-    /// Jobs accepted since the partition came to be.
+    /// Returns the number of jobs accepted since the partition was created.
     pub fn accepted(&self) -> u64 {
         self.accepted
     }
 
-    /// Tells whether the attempt is the task's latest and may be running.
+    /// Returns whether the attempt is the task's latest and may be running.
     pub fn is_active(&self, key: &TaskKey) -> bool {
         self.job(&key.team, &key.job)
             .and_then(|job| job.tasks.get(key.task as usize))
             .is_some_and(|task| task.attempt == key.attempt && task.is_active())
     }
 
-    /// Applies an event; one that does not fit the state changes nothing.
+    /// Applies an event.
+    ///
+    /// Ignores a submission whose job id is already known, an event about an unknown job, and a start,
+    /// release or end of an attempt that is not active.
     pub fn apply(&mut self, event: &LedgerEvent) {
         match event {
             LedgerEvent::OwnerTook { .. } => {}
