--- a/crates/bankvalve_cell/src/membership/member_roster.rs
+++ b/crates/bankvalve_cell/src/membership/member_roster.rs
@@ -1,4 +1,4 @@
-//! Entry instances as their rows in the table service show them.
+//! State of the entry instances, according to their rows in the table service.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -6,21 +6,21 @@
 use super::{Candidate, InstanceRow};
 use crate::ids::{CellTime, Incarnation, InstanceName, RowVersion};
 
-/// How an entry instance stands.
+/// State of an entry instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MemberState {
-    /// Its row is renewed.
+    /// The instance renews its row.
     Live,
-    /// It hands over what it owns.
+    /// The instance is shutting down and hands over its partitions.
     Stopping,
-    /// Its row has not changed for longer than a lease.
+    /// The instance is unresponsive: its row has not changed for longer than a lease.
     Silent,
-    /// Its life was declared over.
+    /// A peer has declared that this incarnation has ended.
     Revoked,
 }
 
 impl MemberState {
-    /// Name as shown to people.
+    /// Returns the name used in command output.
     pub fn as_str(self) -> &'static str {
         match self {
             MemberState::Live => "live",
@@ -38,10 +38,10 @@
     unchanged_for: Duration,
 }
 
-/// What is known of all entry instances.
+/// Latest rows of all entry instances, and the time for which each row has not changed.
 ///
-/// Silence is counted only between scans that follow each other closely, so
-/// that nobody is taken for dead because the table service was down.
+/// Only the time between scans in quick succession counts. Otherwise all
+/// instances would look unresponsive after an outage of the table service.
 #[derive(Clone, Debug, Default)]
 pub struct MemberRoster {
     members: BTreeMap<InstanceName, MemberEntry>,
@@ -49,10 +49,12 @@
 }
 
 impl MemberRoster {
-    /// Takes in a scan of all instance rows.
+    /// Handles a scan of all instance rows.
     ///
-    /// `gap_limit` is the longest time between two scans that still counts
-    /// as silence of a row that did not change.
+    /// If a row has not changed since the previous scan, and that scan was no
+    /// longer than `gap_limit` ago, the time between the two scans is added to
+    /// the time for which the row has not changed. Otherwise that time restarts
+    /// at zero.
     pub fn handle_scan(
         &mut self,
         now: CellTime,
@@ -81,7 +83,7 @@
         self.members = members;
     }
 
-    /// The state of an instance, given the length of its lease.
+    /// Returns the state of an instance, given the length of its lease, or `None` if it has no row.
     pub fn state_of(&self, name: &str, lease: Duration) -> Option<MemberState> {
         let entry = self.members.get(name)?;
         Some(if entry.row.revoked {
@@ -95,7 +97,8 @@
         })
     }
 
-    /// Tells whether a life of an instance is over for good.
+    /// Returns whether an incarnation of an instance has ended: its row is revoked, missing or of another
+    /// incarnation.
     pub fn has_ended(&self, name: &str, incarnation: Incarnation) -> bool {
         match self.members.get(name) {
             None => true,
@@ -103,13 +106,13 @@
         }
     }
 
-    /// The row of an instance and its version.
+    /// Returns the row of an instance and its version.
     pub fn row_of(&self, name: &str) -> Option<(&InstanceRow, RowVersion)> {
         let entry = self.members.get(name)?;
         Some((&entry.row, entry.version))
     }
 
-    /// All rows with their state.
+    /// Returns all rows, each with the state of its instance.
     pub fn all(&self, lease: Duration) -> impl Iterator<Item = (&InstanceRow, MemberState)> {
         self.members.iter().filter_map(move |(name, entry)| {
             let state = self.state_of(name, lease)?;
@@ -117,7 +120,7 @@
         })
     }
 
-    /// The instances that may own partitions.
+    /// Returns the live instances, which may own partitions.
     pub fn candidates(&self, lease: Duration) -> Vec<Candidate> {
         self.all(lease)
             .filter(|(_, state)| *state == MemberState::Live)
@@ -129,7 +132,7 @@
             .collect()
     }
 
-    /// Rows of instances that have been silent for longer than a lease.
+    /// Returns the rows, not yet revoked, of instances that have been unresponsive for longer than a lease.
     pub fn unresponsive(&self, lease: Duration) -> Vec<(InstanceRow, RowVersion)> {
         self.members
             .values()
--- a/crates/bankvalve_cell/src/membership/mod.rs
+++ b/crates/bankvalve_cell/src/membership/mod.rs
@@ -1,4 +1,4 @@
-//! Membership: which entry instances live, and which of them should own what.
+//! Membership: which entry instances are live, and which partitions each of them should own.
 
 mod member_roster;
 mod partition_row;
--- a/crates/bankvalve_cell/src/membership/partition_row.rs
+++ b/crates/bankvalve_cell/src/membership/partition_row.rs
@@ -1,4 +1,4 @@
-//! Rows of the table service that say who lives and who owns what.
+//! Rows in the table service that record live instances, owners of partitions and known workers.
 
 use std::fmt;
 
@@ -15,40 +15,40 @@
 /// Kind of a partition.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum PartitionKind {
-    /// Holds workers.
+    /// Contains workers.
     Worker,
-    /// Holds teams and their jobs.
+    /// Contains teams and their jobs.
     Team,
 }
 
-/// Names a partition.
+/// Kind and index of a partition, which identify it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct PartitionKey {
-    /// Its kind.
+    /// Kind of the partition.
     pub kind: PartitionKind,
-    /// Its index inside the kind.
+    /// Index among the partitions of this kind.
     pub index: PartitionIndex,
 }
 
 impl PartitionKey {
-    /// Names a worker partition.
+    /// Returns the key of a worker partition.
     pub fn worker(index: PartitionIndex) -> Self {
         let kind = PartitionKind::Worker;
         Self { kind, index }
     }
 
-    /// Names a team partition.
+    /// Returns the key of a team partition.
     pub fn team(index: PartitionIndex) -> Self {
         let kind = PartitionKind::Team;
         Self { kind, index }
     }
 
-    /// Tells whether it holds teams.
+    /// Returns whether this is a team partition.
     pub fn is_team(self) -> bool {
         self.kind == PartitionKind::Team
     }
 
-    /// Key of its row.
+    /// Returns the key of the partition's row in the table service.
     ///
     /// # Examples
     ///
@@ -63,7 +63,7 @@
         format!("{PARTITION_PREFIX}{self}")
     }
 
-    /// Reads the key of a row.
+    /// Parses the key of a partition's row.
     pub fn from_row_key(key: &str) -> Option<Self> {
         let (kind, index) = key.strip_prefix(PARTITION_PREFIX)?.split_once('/')?;
         let index = index.parse().ok()?;
@@ -82,50 +82,50 @@
     }
 }
 
-/// Row that says who owns a partition.
+/// Row that records the owner of a partition.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PartitionRow {
-    /// The owner; empty if it was released.
+    /// Name of the owner; empty if the partition was released.
     pub owner: InstanceName,
-    /// The owner's life.
+    /// The owner's incarnation.
     pub incarnation: Incarnation,
     /// The owner's epoch.
     pub epoch: Epoch,
 }
 
-/// Row that an entry instance renews to show that it lives.
+/// Row that an entry instance renews to show that it is live.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct InstanceRow {
     /// The instance.
     pub detail: InstanceDetail,
-    /// Its life.
+    /// Incarnation of the instance.
     pub incarnation: Incarnation,
-    /// Counts the renewals.
+    /// Number of renewals.
     pub beat: u64,
-    /// Whether it hands over what it owns.
+    /// Whether the instance is shutting down and hands over its partitions.
     pub stopping: bool,
-    /// Whether a peer has declared this life over; it is final.
+    /// Whether a peer has declared that this incarnation has ended; this is never undone.
     pub revoked: bool,
 }
 
-/// Row that names the workers that a partition's owner may have spoken to.
+/// Row that lists the workers to which a partition's owner may have sent commands.
 ///
-/// A worker is written here before it is first given work, so that a
-/// successor knows whom it must fence although the instance list lags.
+/// The owner adds a worker here before it first sends it work. A successor
+/// therefore knows which workers to fence even if the instance list lags.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WorkerRoster {
     /// The workers.
     pub workers: Vec<WorkerDetail>,
-    /// Workers that an operator drains.
+    /// Names of the workers that an operator is draining.
     pub drained: Vec<WorkerName>,
 }
 
-/// Key of the row that names a partition's workers.
+/// Returns the key of the row that lists a partition's workers.
 pub(crate) fn roster_key(partition: PartitionIndex) -> String {
     format!("roster/{partition:04}")
 }
 
-/// Key of an entry instance's row.
+/// Returns the key of an entry instance's row.
 pub(crate) fn instance_key(name: &str) -> String {
     format!("{INSTANCE_PREFIX}{name}")
 }
@@ -133,16 +133,16 @@
 macro_rules! impl_row_encoding {
     ($($row:ty),*) => {
         $(impl $row {
-            /// Encodes the row as it is stored.
+            /// Encodes the row for storage.
             ///
             /// # Panics
             ///
-            /// Never: every field can be encoded.
+            /// Does not panic: every field can be encoded.
             pub fn encode(&self) -> Vec<u8> {
                 rmp_serde::to_vec_named(self).expect("a row can be encoded")
             }
 
-            /// Decodes a stored row.
+            /// Decodes a stored row, or returns `None` if the bytes are not such a row.
             pub fn decode(bytes: &[u8]) -> Option<Self> {
                 rmp_serde::from_slice(bytes).ok()
             }
--- a/crates/bankvalve_cell/src/membership/rendezvous.rs
+++ b/crates/bankvalve_cell/src/membership/rendezvous.rs
@@ -1,4 +1,4 @@
-//! Weighted rendezvous hashing with a bound on each owner's load.
+//! Weighted rendezvous hashing with a limit on the number of partitions of each owner.
 
 use std::collections::BTreeMap;
 
@@ -7,21 +7,21 @@
 use super::PartitionKey;
 use crate::ids::{InstanceName, RegionName};
 
-/// Room above an even share that an owner may fill, in percent.
+/// Percentage by which an owner's number of partitions may exceed its share by weight.
 const LOAD_MARGIN_PERCENT: u64 = 40;
 
 /// An entry instance that may own partitions.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Candidate {
-    /// Its name.
+    /// Name of the instance.
     pub name: InstanceName,
-    /// Its region.
+    /// Region of the instance.
     pub region: RegionName,
-    /// Its share relative to the others.
+    /// Share of the partitions, relative to the other candidates.
     pub weight: u32,
 }
 
-/// Score of a candidate for a partition; the highest score owns it.
+/// Returns the score of a candidate for a partition; the candidate with the highest score is preferred.
 ///
 /// # Examples
 ///
@@ -40,10 +40,13 @@
 
 /// Chooses an owner for each partition.
 ///
-/// Each partition goes to the candidate with the highest score that still
-/// has room; candidates in the partition's region come before all others.
-/// The bound evens out the load, and makes a change of membership move some
-/// partitions more than it must; docs/DESIGN.md has figures for both.
+/// Only candidates in the partition's region are considered, or all candidates
+/// if the region has none. The partition goes to the candidate with the highest
+/// score that is below its limit of partitions, or to the one with the highest
+/// score if all have reached their limits.
+///
+/// The limit evens out the load, but a change of membership moves more
+/// partitions than it would without a limit; `docs/DESIGN.md` has figures for both.
 pub fn assign_partitions(
     partitions: &[(PartitionKey, Option<RegionName>)],
     candidates: &[Candidate],
--- a/crates/bankvalve_cell/src/placement/mod.rs
+++ b/crates/bankvalve_cell/src/placement/mod.rs
@@ -1,4 +1,4 @@
-//! Choice among places: which worker partition, which worker, whom to preempt.
+//! Choice of a worker partition and a worker for a task, and of the tasks to preempt.
 
 mod partition_choice;
 mod place_policy;
--- a/crates/bankvalve_cell/src/placement/partition_choice.rs
+++ b/crates/bankvalve_cell/src/placement/partition_choice.rs
@@ -1,4 +1,4 @@
-//! Choice among worker partitions, from their digests.
+//! Choice of a worker partition for a task, based on the partitions' digests.
 
 use std::collections::BTreeMap;
 
@@ -11,42 +11,42 @@
 use crate::link::{CapacityGroup, PartitionDigest};
 use crate::machine::TaskSize;
 
-/// Groups that are drawn and compared for one task.
+/// Number of capacity groups that are sampled at random and compared for one task.
 const SAMPLE_SIZE: usize = 6;
-/// Queued tasks for each worker up to which a partition takes tasks ahead of room.
+/// Queued tasks per worker at which a partition without enough free capacity gets no more tasks.
 const MAX_QUEUED_PER_WORKER: u32 = 2;
 
-/// What is sought for a task.
+/// Requirements of a task on the worker partition that it is assigned to.
 #[derive(Clone, Debug)]
 pub struct PlacementRequirements<'a> {
-    /// Room that the task needs.
+    /// Resources that the task needs.
     pub need: TaskSize,
-    /// Rules that must all admit the place.
+    /// Placement rules, all of which must admit the partition's region and the failure domain.
     pub rules: &'a [PlaceRule],
-    /// Whether it may preempt.
+    /// Whether the task may preempt others.
     pub urgent: bool,
-    /// Whether it belongs to a service.
+    /// Whether the task belongs to a service.
     pub service: bool,
-    /// Tasks of the same job by failure domain.
+    /// Number of tasks of the same job by failure domain.
     pub spread: &'a BTreeMap<DomainName, u32>,
-    /// Whether a place in a queue will do.
+    /// Whether the task may be queued in a partition without free capacity.
     pub may_queue: bool,
-    /// Partition not to choose.
+    /// Partition that must not be chosen.
     pub excluded: Option<PartitionIndex>,
-    /// Tasks that are sought together; more than one for a gang.
+    /// Number of tasks that are placed together; more than one for a gang.
     pub gang_size: u32,
 }
 
-/// A partition that was chosen.
+/// Worker partition chosen for a task.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PartitionChoice {
     /// The partition.
     pub partition: PartitionIndex,
-    /// Its owner's epoch.
+    /// Epoch of the partition's owner.
     pub epoch: Epoch,
-    /// Failure domain to prefer there.
+    /// Failure domain to prefer in the partition.
     pub domain: DomainName,
-    /// Groups with room that were compared.
+    /// Number of capacity groups that the partition was chosen from.
     pub choices: u32,
 }
 
@@ -56,14 +56,14 @@
     received: CellTime,
 }
 
-/// Room of all worker partitions, as last heard, less what was assigned since.
+/// Latest digest of each worker partition, less what this instance has assigned since it was received.
 #[derive(Clone, Debug, Default)]
 pub struct DigestCache {
     entries: BTreeMap<PartitionIndex, CachedDigest>,
 }
 
 impl DigestCache {
-    /// Takes in a digest, unless a later one is known.
+    /// Stores a digest, unless the same or a later one is known.
     pub fn update(&mut self, now: CellTime, digest: PartitionDigest) {
         let known = self.entries.get(&digest.partition);
         let digest_version = |digest: &PartitionDigest| (digest.epoch, digest.sequence);
@@ -75,17 +75,21 @@
             .insert(digest.partition, CachedDigest { digest, received });
     }
 
-    /// All digests.
+    /// Returns all digests.
     pub fn digests(&self) -> impl Iterator<Item = &PartitionDigest> {
         self.entries.values().map(|entry| &entry.digest)
     }
 
-    /// When the digest of a partition was received.
+    /// Returns the time at which the digest of a partition was received.
     pub fn received(&self, partition: PartitionIndex) -> Option<CellTime> {
         Some(self.entries.get(&partition)?.received)
     }
 
-    /// Chooses a partition: with free room, else by preemption, else with a place in its queue.
+    /// Chooses a partition for a task, or returns `None` if none is suitable.
+    ///
+    /// Prefers a partition with enough free capacity. If there is none and the task is urgent, chooses one
+    /// where preemption can free enough. If there is none either and the task may be queued, chooses the
+    /// partition with the fewest queued tasks per worker.
     pub fn choose(
         &self,
         requirements: &PlacementRequirements<'_>,
@@ -128,14 +132,14 @@
         None
     }
 
-    /// Tells whether the place of an earlier choice still has room for a task.
+    /// Returns whether the partition and failure domain of an earlier choice still have capacity for a task.
     pub fn has_capacity(&self, choice: &PartitionChoice, need: TaskSize) -> bool {
         let entry = self.entries.get(&choice.partition);
         let mut groups = entry.into_iter().flat_map(|entry| &entry.digest.groups);
         groups.any(|group| group.domain == choice.domain && fitting_task_count(group, need) > 0)
     }
 
-    /// Deducts an assignment, so that the next choice sees the room taken.
+    /// Deducts an assigned task from the digest, for choices made before the next digest arrives.
     pub fn deduct(&mut self, choice: &PartitionChoice, need: TaskSize) {
         let Some(entry) = self.entries.get_mut(&choice.partition) else {
             return;
@@ -235,7 +239,7 @@
     }
 }
 
-/// Tasks that the roomiest workers of a group hold side by side.
+/// Returns how many tasks fit on the workers of a group with the most free capacity.
 fn fitting_task_count(group: &CapacityGroup, need: TaskSize) -> u32 {
     group
         .largest
--- a/crates/bankvalve_cell/src/placement/place_policy.rs
+++ b/crates/bankvalve_cell/src/placement/place_policy.rs
@@ -1,36 +1,36 @@
-//! The scores by which places are compared; baselines are further scores.
+//! Placement policies: the scores by which worker partitions and workers are compared.
 
 use std::fmt;
 use std::sync::Arc;
 
 use crate::machine::TaskSize;
 
-/// A place with room, as a score sees it.
+/// Properties of a worker or a capacity group that has free capacity, from which its score is computed.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ScoreInput {
-    /// Room that the place has in all.
+    /// Total size of the worker; for a group, the smallest worker size in it.
     pub total: TaskSize,
-    /// Room that is free.
+    /// Free capacity; for a group, that of one worker on which the task fits.
     pub free: TaskSize,
     /// Size of the task.
     pub need: TaskSize,
-    /// Tasks of the same job in the same failure domain.
+    /// Number of tasks of the same job in the same failure domain.
     pub same_domain: u32,
-    /// Tasks of the same job in the same rack.
+    /// Number of tasks of the same job in the same rack; zero for a group.
     pub same_rack: u32,
     /// Whether the task belongs to a service.
     pub service: bool,
-    /// Number in `0..1` drawn for this place and task.
+    /// Random value in `0..1` for this worker or group and this task.
     pub random_unit: f64,
 }
 
-/// A score; the place with the highest is chosen.
+/// Function that computes a score; the worker or group with the highest score is chosen.
 type PlaceScore = Arc<dyn Fn(&ScoreInput) -> f64 + Send + Sync>;
 
-/// How places are compared: worker partitions first, then workers inside one.
+/// Placement policy: one score for worker partitions, and one for the workers of the chosen partition.
 #[derive(Clone)]
 pub struct PlacePolicy {
-    /// Name shown in reports.
+    /// Name used in reports.
     pub name: &'static str,
     partition_score: PlaceScore,
     worker_score: PlaceScore,
@@ -51,10 +51,12 @@
 }
 
 impl PlacePolicy {
-    /// Spreads services over domains and racks, and packs all else tightly.
+    /// Returns the policy that spreads services over failure domains and racks, and fills workers with all
+    /// other tasks as tightly as possible.
     ///
-    /// Partitions are drawn at random among those with room: their digests
-    /// are some time old, and all owners would crowd into the fullest.
+    /// Among partitions with enough free capacity the choice is random; for services, it is random among
+    /// those whose failure domain has the fewest tasks of the job. Digests lag behind: if all owners
+    /// chose the fullest partition, they would overload it.
     ///
     /// # Examples
     ///
@@ -64,11 +66,11 @@
     ///
     /// let total = TaskSize { millicores: 16_000, memory_mib: 65_536, accelerators: 0 };
     /// let need = TaskSize { millicores: 4_000, memory_mib: 4_096, accelerators: 0 };
-    /// let view = |free| ScoreInput {
+    /// let input = |free| ScoreInput {
     ///     total, free, need, same_domain: 0, same_rack: 0, service: false, random_unit: 0.5,
     /// };
     /// let policy = PlacePolicy::tight();
-    /// assert!(policy.score_worker(&view(need)) > policy.score_worker(&view(total)));
+    /// assert!(policy.score_worker(&input(need)) > policy.score_worker(&input(total)));
     /// ```
     pub fn tight() -> Self {
         let spread =
@@ -92,12 +94,12 @@
         )
     }
 
-    /// Baseline: the place with the most room left.
+    /// Returns the baseline policy that prefers the most remaining capacity.
     pub fn least_loaded() -> Self {
         Self::new("least-loaded", remaining_share, remaining_share)
     }
 
-    /// Baseline: any place that fits.
+    /// Returns the baseline policy that chooses at random.
     pub fn random() -> Self {
         Self::new(
             "random",
@@ -106,7 +108,7 @@
         )
     }
 
-    /// Baseline: the first thin version packed partitions and workers alike.
+    /// Returns the baseline policy of the first version, which packed partitions as tightly as workers.
     pub fn first_version() -> Self {
         let score = |input: &ScoreInput| {
             let remaining = remaining_share(input);
@@ -119,12 +121,12 @@
         Self::new("first-version", score, score)
     }
 
-    /// Score of a worker partition.
+    /// Returns the score of a capacity group of a worker partition.
     pub fn score_partition(&self, input: &ScoreInput) -> f64 {
         (self.partition_score)(input)
     }
 
-    /// Score of a worker.
+    /// Returns the score of a worker.
     pub fn score_worker(&self, input: &ScoreInput) -> f64 {
         (self.worker_score)(input)
     }
@@ -142,7 +144,7 @@
     }
 }
 
-/// Room left after the task, as the mean share of processors and memory.
+/// Returns the capacity that remains after the task, as the mean of the shares of processors and memory.
 fn remaining_share(input: &ScoreInput) -> f64 {
     let remaining = input.free.minus(input.need);
     let share = |part: u32, whole: u32| f64::from(part) / f64::from(whole.max(1));
--- a/crates/bankvalve_cell/src/placement/preempt_choice.rs
+++ b/crates/bankvalve_cell/src/placement/preempt_choice.rs
@@ -8,17 +8,17 @@
 pub struct VictimCandidate {
     /// The task.
     pub id: TaskId,
-    /// Room that it holds.
+    /// Resources reserved for the task.
     pub size: TaskSize,
-    /// Work lost if it is stopped, in core milliseconds.
+    /// Work lost if the task is stopped, in core milliseconds.
     pub cost: f64,
 }
 
-/// Chooses the cheapest tasks whose room, with what is free, holds `need`.
+/// Chooses tasks to stop so that `need` fits into their resources and `free` together.
 ///
-/// Takes the cheapest first until there is room, then gives back each that
-/// turns out not to be needed, dearest first. Returns the tasks and their
-/// cost, or none if all of them together do not make room.
+/// Adds tasks in ascending order of cost until `need` fits. Then removes each
+/// task that is not needed after all, in descending order of cost. Returns the
+/// tasks and their total cost, or `None` if stopping all of them is not enough.
 ///
 /// # Examples
 ///
