--- a/crates/bankvalve_cell/src/ids.rs
+++ b/crates/bankvalve_cell/src/ids.rs
@@ -6,37 +6,37 @@
 pub type InstanceName = String;
 /// Name of a worker, unique in the cell and stable over restarts.
 pub type WorkerName = String;
-/// Name of a team, the unit that quotas are given to.
+/// Name of a team. Each team has a quota.
 pub type TeamName = String;
-/// Name of a region, which holds several failure domains.
+/// Name of a region, which contains several failure domains.
 pub type RegionName = String;
 /// Name of a failure domain inside a region.
 pub type DomainName = String;
 /// Name of a rack inside a failure domain.
 pub type RackName = String;
-/// Name that a job's submitter gave it, unique inside its team.
+/// Name of a job, chosen by its submitter and unique inside its team.
 pub type JobId = String;
 /// Name of a service that callers send requests to.
 pub type ServiceName = String;
-/// Index of a task inside its job, from zero.
+/// Index of a task inside its job, counted from zero.
 pub type TaskIndex = u32;
-/// Attempt at running a task, from one.
+/// Number of an attempt at running a task, counted from one.
 pub type Attempt = u32;
-/// Index of a partition inside its kind, from zero.
+/// Index of a partition among the partitions of its kind, counted from zero.
 pub type PartitionIndex = u32;
-/// Owner's number of a partition; every change of owner raises it.
+/// Ownership epoch of a partition; each change of owner raises it.
 pub type Epoch = u64;
-/// Number of a process' or worker's life; a restart raises it.
+/// Number of one run of an instance or worker process; a restart raises it.
 pub type Incarnation = u64;
-/// Version of a row in the platform's table service; zero means absent.
+/// Version of a row in the platform's table service; zero if the row does not exist.
 pub type RowVersion = u64;
-/// Version of the configuration bundle; it only rises.
+/// Version of the configuration bundle; it never decreases.
 pub type BundleVersion = u64;
-/// Number that matches an answer with what asked for it, unique in a process.
+/// Number that matches an answer with its request, unique in a process.
 pub type Ticket = u64;
-/// Reading of a worker's own clock in milliseconds; its zero is arbitrary.
+/// Time on a worker's own clock, in milliseconds from an arbitrary origin.
 pub type WorkerClock = u64;
-/// Wall-clock time in milliseconds since the Unix epoch, for the record only.
+/// Wall-clock time in milliseconds since the Unix epoch. Recorded only; no decision depends on it.
 pub type UnixMillis = u64;
-/// Reading of a process' monotonic clock; its zero is arbitrary.
+/// Time on a process's monotonic clock, from an arbitrary origin.
 pub type CellTime = Duration;
--- a/crates/bankvalve_cell/src/lib.rs
+++ b/crates/bankvalve_cell/src/lib.rs
@@ -1,12 +1,12 @@
 //! Decides where work runs in a bankvalve cell, without any I/O.
 //!
-//! Everything here is a plain state machine: an event and the time go in,
-//! actions come out. The threads, sockets and clocks live in the `bankvalve`
-//! crate; the randomised runs of `bankvalve_check` drive the same code under
+//! The crate is a state machine: it receives an event and the current time,
+//! and returns actions. Threads, sockets and clocks are in the `bankvalve`
+//! crate. The randomised tests of `bankvalve_check` run the same code under
 //! virtual time.
 //!
-//! Start with [`instance::InstanceCore`], which ties together membership,
-//! the partitions that an entry instance owns and the ledger.
+//! Start with [`instance::InstanceCore`], which combines membership, the
+//! partitions that an entry instance owns and the ledger.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
--- a/crates/bankvalve_cell/src/refusal.rs
+++ b/crates/bankvalve_cell/src/refusal.rs
@@ -1,4 +1,4 @@
-//! The reasons for which bankvalve refuses or retries, each with a counter.
+//! Reasons for refusals and retries. Each reason has a counter.
 
 use std::fmt;
 
@@ -14,10 +14,10 @@
         }
 
         impl $name {
-            /// All reasons, in the order in which they are documented.
+            /// All reasons, in order of declaration.
             pub const ALL: &'static [Self] = &[$(Self::$variant,)*];
 
-            /// The name used for counters and in answers.
+            /// Returns the name used for counters and in answers.
             pub fn as_str(self) -> &'static str {
                 match self {
                     $(Self::$variant => $text,)*
@@ -34,7 +34,7 @@
 }
 
 reasons! {
-    /// Why work was not accepted, placed or run.
+    /// Reason why work was not accepted, placed or run.
     ///
     /// # Examples
     ///
@@ -47,77 +47,77 @@
     RefusalReason {
         /// The request or job is malformed.
         Malformed => "malformed",
-        /// The credential is missing, wrong or of another kind of link.
+        /// The credential is missing, wrong or meant for another kind of link.
         NotAllowed => "not_allowed",
-        /// The team is not in the bundle.
+        /// The configuration bundle does not list the team.
         UnknownTeam => "unknown_team",
-        /// No job of that id is known.
+        /// The team has no job with this id.
         UnknownJob => "unknown_job",
-        /// No service of that name runs.
+        /// No service with this name is running.
         UnknownService => "unknown_service",
-        /// No worker of that name is known.
+        /// No worker with this name is known.
         UnknownWorker => "unknown_worker",
-        /// A job of that id exists with another content.
+        /// A job with this id but different content exists.
         JobConflict => "job_conflict",
-        /// The job can never run: no worker, rule or quota admits it.
+        /// The job can never run: the quota, the placement rules or the workers' sizes do not allow it.
         CanNeverRun => "can_never_run",
-        /// The team's quota has no room for it.
+        /// The tasks would exceed the team's quota.
         QuotaExceeded => "quota_exceeded",
-        /// No worker of the partition has room.
+        /// Not enough free capacity, or the attempt was withdrawn before it started.
         NoRoom => "no_room",
-        /// Rules of the job or the bundle keep it off every worker at hand.
+        /// Placement rules of the job or the bundle exclude every available worker.
         RuleForbids => "rule_forbids",
-        /// All slots or connections of the service's targets are taken.
+        /// All slots or connections of the service's targets are in use.
         NoFreeSlot => "no_free_slot",
-        /// The partition has no live owner just now.
+        /// The partition currently has no owner that is ready to answer.
         NoOwner => "no_owner",
-        /// The message names an epoch that has passed.
+        /// The message refers to an earlier epoch or attempt, or to a partition that is not owned here.
         StaleEpoch => "stale_epoch",
-        /// Workers of the partition have not been fenced yet.
+        /// Some workers on which the attempt may run have not been fenced yet.
         NotFenced => "not_fenced",
-        /// The table service does not answer, and the work needs a record.
+        /// The table service does not answer, and the work cannot be recorded or confirmed.
         StoreUnavailable => "store_unavailable",
-        /// Too much finished work waits to be archived.
+        /// Too many ledger batches wait to be archived.
         ArchiveBacklog => "archive_backlog",
-        /// A bounded ring or queue is full.
+        /// A bounded ring buffer or queue is full.
         QueueFull => "queue_full",
-        /// The caller's deadline passed before the work was handed out.
+        /// The caller's deadline passed before the request was sent to a target.
         DeadlinePassed => "deadline_passed",
-        /// The instance is stopping.
+        /// The instance is shutting down.
         Stopping => "stopping",
-        /// The bundle is older than the version it must follow.
+        /// The bundle's version is not the one after the version in force.
         VersionConflict => "version_conflict",
-        /// The worker could not be reached or answered outside its contract.
+        /// The worker could not be reached, was declared lost, or never ran the attempt.
         WorkerUnreachable => "worker_unreachable",
-        /// A peer could not be reached.
+        /// A peer instance could not be reached or did not answer in time.
         PeerUnreachable => "peer_unreachable",
     }
 }
 
 reasons! {
-    /// Why something was sent or tried again.
+    /// Reason why something was retried or sent again.
     RetryReason {
-        /// A write to the table service got no answer.
+        /// A request to the table service got no answer.
         StoreAnswerLost => "store_answer_lost",
-        /// A row had changed in the meantime.
+        /// A row had changed since it was read, or the rows read do not match.
         StoreConflict => "store_conflict",
-        /// The object store refused or did not answer.
+        /// The object store refused a write or did not answer.
         ObjectFailed => "object_failed",
-        /// An exchange with a worker got no answer.
+        /// An exchange with a worker or a request to it got no usable answer.
         WorkerAnswerLost => "worker_answer_lost",
-        /// A placement got no word back.
+        /// A placement order got no status in reply.
         PlacementUnanswered => "placement_unanswered",
-        /// A placement was refused for lack of room.
+        /// A worker partition did not run the attempt, for example because it had no free capacity.
         PlacementRefused => "placement_refused",
-        /// A hold of a gang lapsed before all were held.
+        /// A gang's reservations were released because they were not complete in time.
         GangHoldLapsed => "gang_hold_lapsed",
-        /// The task was lost with its worker.
+        /// The attempt was lost; it may have run.
         TaskLost => "task_lost",
-        /// The task was preempted by urgent work.
+        /// The task was preempted by an urgent task.
         TaskPreempted => "task_preempted",
-        /// The task failed and may be tried again.
+        /// An attempt at the task failed; the task may run again.
         TaskFailed => "task_failed",
-        /// A request did not run and went to another target.
+        /// A target did not run a request; the next target, if any, is tried.
         RequestNotRun => "request_not_run",
     }
 }
--- a/crates/bankvalve_cell/src/tally.rs
+++ b/crates/bankvalve_cell/src/tally.rs
@@ -1,30 +1,30 @@
-//! Counters of refusals and retries, and the invariants that the program asserts of itself.
+//! Counters of refusals and retries, and the invariants that are checked at run time.
 
 use std::collections::BTreeMap;
 
 use crate::refusal::{RefusalReason, RetryReason};
 
-/// Most breaches whose text is kept.
+/// Maximum number of breaches whose text is kept.
 const MAX_BREACH_TEXTS: usize = 32;
 
-/// Something that must always hold.
+/// Invariant that is checked at run time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum InvariantKind {
-    /// No worker holds more than its size.
+    /// No worker has more capacity reserved than its size.
     Capacity,
-    /// No attempt is adopted while a later one exists.
+    /// A task has at most one unfinished attempt, which runs only on the worker assigned to it.
     SinglePlace,
-    /// No team holds more than its quota.
+    /// No team has more resources reserved than its quota.
     Quota,
-    /// The bundle's version never falls.
+    /// The bundle's version never decreases.
     BundleRises,
-    /// A ledger batch follows from the batch before it.
+    /// Each ledger batch has the number after the batch before it, and a higher row version.
     ChainUnbroken,
-    /// Nothing is sent out for an event before it is committed.
+    /// A placement order is sent only after the attempt's `Intended` event is committed.
     IntentFirst,
-    /// A gang's tasks start only after all hold room.
+    /// A gang's tasks start only after capacity is reserved for all of them.
     GangTogether,
-    /// A worker that is leaving gets no new task.
+    /// A worker that is draining or leaving gets no new task.
     LeavingUntouched,
 }
 
@@ -41,7 +41,7 @@
         Self::LeavingUntouched,
     ];
 
-    /// Name used for counters and reports.
+    /// Returns the name used for counters and reports.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Capacity => "capacity",
@@ -56,7 +56,7 @@
     }
 }
 
-/// What an entry instance counts.
+/// Counters of an entry instance.
 ///
 /// # Examples
 ///
@@ -75,19 +75,19 @@
     checks: BTreeMap<InvariantKind, u64>,
     breaches: Vec<String>,
     breach_count: u64,
-    /// Placements decided by worker partitions.
+    /// Number of attempts that worker partitions assigned to a worker.
     pub placed: u64,
-    /// Tasks preempted for urgent work.
+    /// Number of tasks preempted for urgent work.
     pub preempted: u64,
-    /// Peer batches dropped for being late or repeated.
+    /// Number of peer batches dropped because they were out of order or repeated.
     pub peer_batches_dropped: u64,
-    /// Workers' answers dropped for being late or repeated.
+    /// Number of workers' answers dropped because they were late or repeated.
     pub worker_answers_dropped: u64,
-    /// Batches committed to the ledger.
+    /// Number of batches committed to the ledger.
     pub ledger_commits: u64,
-    /// Events committed to the ledger.
+    /// Number of events committed to the ledger.
     pub ledger_events: u64,
-    /// Partitions taken over.
+    /// Number of partitions taken over.
     pub claims: u64,
 }
 
@@ -102,7 +102,7 @@
         *self.retries.entry(reason).or_default() += 1;
     }
 
-    /// Counts a check of an invariant, and keeps its breach.
+    /// Counts a check of an invariant, and records a breach if `holds` is false.
     pub fn assert(&mut self, kind: InvariantKind, holds: bool, text: impl FnOnce() -> String) {
         *self.checks.entry(kind).or_default() += 1;
         if holds {
@@ -114,27 +114,27 @@
         }
     }
 
-    /// Refusals by reason.
+    /// Returns the number of refusals by reason.
     pub fn refusals(&self) -> &BTreeMap<RefusalReason, u64> {
         &self.refusals
     }
 
-    /// Retries by reason.
+    /// Returns the number of retries by reason.
     pub fn retries(&self) -> &BTreeMap<RetryReason, u64> {
         &self.retries
     }
 
-    /// How often an invariant was checked.
+    /// Returns how often an invariant was checked.
     pub fn checked(&self, kind: InvariantKind) -> u64 {
         self.checks.get(&kind).copied().unwrap_or(0)
     }
 
-    /// Texts of the first breaches.
+    /// Returns the texts of the first `MAX_BREACH_TEXTS` breaches.
     pub fn breaches(&self) -> &[String] {
         &self.breaches
     }
 
-    /// Number of all breaches.
+    /// Returns the number of all breaches.
     pub fn breach_count(&self) -> u64 {
         self.breach_count
     }
