--- a/crates/bankvalve/src/entry/link_loop.rs
+++ b/crates/bankvalve/src/entry/link_loop.rs
@@ -129,7 +129,7 @@
         idle: POOLED_CONNECTIONS,
         idle_time: IDLE_TIME,
         connect_time: CONNECT_TIME,
-        silence: Some(SILENCE),
+        ack_timeout: Some(SILENCE),
         reply_bytes: REPLY_BYTES,
     });
     let links = Rc::new(LinkLoop {
--- a/crates/bankvalve_link/src/client/held_connection.rs
+++ b/crates/bankvalve_link/src/client/held_connection.rs
@@ -47,7 +47,7 @@
         stream.set_nodelay(true).map_err(failed)?;
         let socket = SockRef::from(&stream);
         socket
-            .set_tcp_user_timeout(limits.silence)
+            .set_tcp_user_timeout(limits.ack_timeout)
             .map_err(failed)?;
         let shaken = handshake(TokioIo::new(stream)).await;
         let (sender, connection) = shaken.map_err(|error| not_sent(error.to_string()))?;
--- a/crates/bankvalve_link/src/client/kept_connections.rs
+++ b/crates/bankvalve_link/src/client/kept_connections.rs
@@ -145,7 +145,7 @@
     let mut connector = HttpConnector::new();
     connector.set_nodelay(true);
     connector.set_connect_timeout(Some(limits.connect_time));
-    connector.set_tcp_user_timeout(limits.silence);
+    connector.set_tcp_user_timeout(limits.ack_timeout);
     Client::builder(TokioExecutor::new())
         .pool_timer(TokioTimer::new())
         .pool_idle_timeout(limits.idle_time)
--- a/crates/bankvalve_link/src/client/mod.rs
+++ b/crates/bankvalve_link/src/client/mod.rs
@@ -33,7 +33,7 @@
     /// Time in which a connection must be made.
     pub connect_time: Duration,
     /// Time for which sent bytes may stay unacknowledged.
-    pub silence: Option<Duration>,
+    pub ack_timeout: Option<Duration>,
     /// Largest reply in bytes.
     pub reply_bytes: usize,
 }
@@ -125,7 +125,7 @@
             idle,
             idle_time: IDLE_TIME,
             connect_time: CONNECT_TIME,
-            silence: None,
+            ack_timeout: None,
             reply_bytes,
         })
     }
--- a/crates/bankvalve_link/tests/silence.rs
+++ b/crates/bankvalve_link/tests/silence.rs
@@ -93,12 +93,12 @@
     client_with(None)
 }
 
-fn client_with(silence: Option<Duration>) -> HttpClient {
+fn client_with(ack_timeout: Option<Duration>) -> HttpClient {
     HttpClient::with_limits(ClientLimits {
         idle: KEPT,
         idle_time: Duration::from_secs(90),
         connect_time: ANSWER_TIME,
-        silence,
+        ack_timeout,
         reply_bytes: 1_024,
     })
 }
--- a/crates/bankvalve_link/tests/unreached.rs
+++ b/crates/bankvalve_link/tests/unreached.rs
@@ -18,7 +18,7 @@
         idle: 1,
         idle_time: Duration::from_secs(1),
         connect_time: CONNECT_TIME,
-        silence: None,
+        ack_timeout: None,
         reply_bytes: 1_024,
     });
     let url = format!("http://{address}/");
