--- /dev/null
+++ b/crates/bankvalve_link/src/client/connection_pools.rs
@@ -0,0 +1,165 @@
+//! The connections that a client keeps open, by address.
+
+use std::collections::HashMap;
+use std::sync::atomic::{AtomicU64, Ordering};
+use std::sync::{Arc, Mutex, MutexGuard};
+use std::time::{Instant, SystemTime};
+
+use bytes::Bytes;
+use http_body_util::Full;
+use hyper::http::uri::Authority;
+use hyper_util::client::legacy::connect::HttpConnector;
+use hyper_util::client::legacy::Client;
+use hyper_util::rt::{TokioExecutor, TokioTimer};
+
+use super::held_connection::{HeldConnection, HeldNumber};
+use super::ClientLimits;
+
+/// Number of addresses from which on the client drops those it has not called for
+/// [`ClientLimits::idle_time`]. Each process of a worker has a different address, so their number would
+/// grow without limit otherwise.
+const ADDRESS_SWEEP_THRESHOLD: usize = 64;
+
+/// Pooled connections to one address, which are replaced together.
+pub(super) type ConnectionPool = Client<HttpConnector, Full<Bytes>>;
+
+/// State of the connections to one address.
+#[derive(Debug)]
+struct AddressConnections {
+    pool: ConnectionPool,
+    /// Number of earlier pools for this address.
+    generation: u64,
+    /// Whether a call of this generation was answered. Only then can the pool hold idle connections.
+    answered: bool,
+    /// The numbered connection to this address; `None` while a call uses it.
+    held: Option<HeldConnection>,
+    used_at: Instant,
+}
+
+/// The connections that a client keeps open, with a separate pool for each address.
+///
+/// Open connections can stop responding together and without a reset, while new connections work.
+/// After a call has timed out, later calls therefore use none of the connections that were open: the
+/// address gets a new pool. Calls in flight continue on the old pool.
+#[derive(Clone, Debug)]
+pub(super) struct ConnectionPools {
+    limits: ClientLimits,
+    addresses: Arc<Mutex<HashMap<Authority, AddressConnections>>>,
+    /// Number of the next held connection.
+    next_held: Arc<AtomicU64>,
+}
+
+impl ConnectionPools {
+    pub(super) fn new(limits: ClientLimits) -> Self {
+        Self {
+            limits,
+            addresses: Arc::default(),
+            next_held: Arc::new(AtomicU64::new(first_connection_number())),
+        }
+    }
+
+    /// Returns the number for a new held connection.
+    pub(super) fn next_number(&self) -> HeldNumber {
+        self.next_held.fetch_add(1, Ordering::Relaxed)
+    }
+
+    /// Takes the held connection to an address and returns it with the address's generation.
+    ///
+    /// The connection is `None` if there is none, another call uses it or it has been idle for too long.
+    pub(super) fn take_held(&self, address: &Authority) -> (Option<HeldConnection>, u64) {
+        let (_, generation) = self.pool(address);
+        let held = self
+            .lock()
+            .get_mut(address)
+            .and_then(|connections| connections.held.take());
+        let idle_time = self.limits.idle_time;
+        let held = held.filter(|held| held.used_at.elapsed() < idle_time);
+        (held, generation)
+    }
+
+    /// Stores a connection for the next call after a call on it was answered.
+    ///
+    /// Drops the connection if the address has got a new generation since.
+    pub(super) fn hold(&self, address: &Authority, generation: u64, mut held: HeldConnection) {
+        held.used_at = Instant::now();
+        if let Some(connections) = self.lock().get_mut(address) {
+            if connections.generation == generation {
+                connections.held = Some(held);
+            }
+        }
+    }
+
+    /// Returns the pool for a call to an address, and its generation.
+    pub(super) fn pool(&self, address: &Authority) -> (ConnectionPool, u64) {
+        let now = Instant::now();
+        let mut addresses = self.lock();
+        if let Some(connections) = addresses.get_mut(address) {
+            connections.used_at = now;
+            return (connections.pool.clone(), connections.generation);
+        }
+        if addresses.len() >= ADDRESS_SWEEP_THRESHOLD {
+            let idle_time = self.limits.idle_time;
+            addresses.retain(|_, connections| {
+                now.saturating_duration_since(connections.used_at) < idle_time
+            });
+        }
+        let connections = AddressConnections {
+            pool: new_pool(&self.limits),
+            generation: 0,
+            answered: false,
+            held: None,
+            used_at: now,
+        };
+        let pool = connections.pool.clone();
+        addresses.insert(address.clone(), connections);
+        (pool, 0)
+    }
+
+    /// Records that a call of a generation was answered.
+    pub(super) fn record_answer(&self, address: &Authority, generation: u64) {
+        if let Some(connections) = self.lock().get_mut(address) {
+            connections.answered |= connections.generation == generation;
+        }
+    }
+
+    /// Replaces the pool and drops the held connection after a call of a generation has timed out.
+    ///
+    /// Changes nothing if the generation has been replaced already, or if none of its calls was answered:
+    /// it then has no idle connections that a later call could use.
+    pub(super) fn replace_pool(&self, address: &Authority, generation: u64) {
+        if let Some(connections) = self.lock().get_mut(address) {
+            if connections.generation == generation && connections.answered {
+                connections.pool = new_pool(&self.limits);
+                connections.generation += 1;
+                connections.answered = false;
+                connections.held = None;
+            }
+        }
+    }
+
+    fn lock(&self) -> MutexGuard<'_, HashMap<Authority, AddressConnections>> {
+        let addresses = self.addresses.lock();
+        addresses.unwrap_or_else(|error| error.into_inner())
+    }
+}
+
+/// Returns the number of a client's first held connection: the time since the Unix epoch in microseconds.
+///
+/// It is higher than the numbers of an earlier process, so none of those matches a connection of this one.
+fn first_connection_number() -> HeldNumber {
+    let now = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH);
+    now.unwrap_or_default().as_micros() as HeldNumber
+}
+
+fn new_pool(limits: &ClientLimits) -> ConnectionPool {
+    let mut connector = HttpConnector::new();
+    connector.set_nodelay(true);
+    connector.set_connect_timeout(Some(limits.connect_time));
+    connector.set_tcp_user_timeout(limits.ack_timeout);
+    Client::builder(TokioExecutor::new())
+        .pool_timer(TokioTimer::new())
+        .pool_idle_timeout(limits.idle_time)
+        .pool_max_idle_per_host(limits.idle)
+        .retry_canceled_requests(false)
+        .build(connector)
+}
--- a/crates/bankvalve_link/src/client/held_connection.rs
+++ b/crates/bankvalve_link/src/client/held_connection.rs
@@ -1,4 +1,4 @@
-//! A connection that its user tells from others.
+//! A numbered connection, which callers can request again by its number.
 
 use std::io::ErrorKind;
 use std::time::Instant;
@@ -15,10 +15,10 @@
 
 use super::{CallEnd, ClientFailure, ClientLimits};
 
-/// Number of a connection that a client holds; no other one of this process bears it.
+/// Number of a connection that a client holds open; unique among the connections of that client.
 pub type HeldNumber = u64;
 
-/// An open connection with its number.
+/// An open connection, its number and the time of its last use.
 #[derive(Debug)]
 pub(super) struct HeldConnection {
     pub(super) number: HeldNumber,
@@ -27,7 +27,7 @@
 }
 
 impl HeldConnection {
-    /// Connects to an address.
+    /// Connects to an address and sets up HTTP/1 on the connection.
     pub(super) async fn connect(
         address: &Authority,
         number: HeldNumber,
@@ -36,7 +36,7 @@
         let not_sent = |text: String| CallEnd::Failed(ClientFailure::NotSent(text));
         let connecting = TcpStream::connect(address.as_str());
         let connected = tokio::time::timeout(limits.connect_time, connecting).await;
-        let connected = connected.map_err(|_| not_sent("no connection in time".into()))?;
+        let connected = connected.map_err(|_| not_sent("connection attempt timed out".into()))?;
         let stream = connected.map_err(|error| match error.kind() {
             ErrorKind::ConnectionRefused | ErrorKind::ConnectionReset => {
                 CallEnd::Failed(ClientFailure::Refused(error.to_string()))
@@ -49,9 +49,9 @@
         socket
             .set_tcp_user_timeout(limits.ack_timeout)
             .map_err(failed)?;
-        let shaken = handshake(TokioIo::new(stream)).await;
-        let (sender, connection) = shaken.map_err(|error| not_sent(error.to_string()))?;
-        // How it ends shows in the call that is on it.
+        let handshaken = handshake(TokioIo::new(stream)).await;
+        let (sender, connection) = handshaken.map_err(|error| not_sent(error.to_string()))?;
+        // Drives the connection. Its errors are ignored here: the call in flight on it fails with them.
         tokio::spawn(async move { drop(connection.await) });
         Ok(Self {
             number,
@@ -61,8 +61,8 @@
     }
 }
 
-/// The request as it is written to a connection: with a path alone, and the host beside it.
-pub(super) fn with_path_alone(
+/// Puts a request into origin form: the URI holds only the path and query, and the `Host` header the address.
+pub(super) fn to_origin_form(
     mut request: Request<Full<Bytes>>,
     address: &Authority,
 ) -> Result<Request<Full<Bytes>>, ClientFailure> {
@@ -71,7 +71,7 @@
     let host = host.map_err(|error| not_sent(error.to_string()))?;
     request.headers_mut().insert(HOST, host);
     let path = request.uri().path_and_query().cloned();
-    let path = path.ok_or_else(|| not_sent("expected a path".into()))?;
+    let path = path.ok_or_else(|| not_sent("expected a path in the URL".into()))?;
     *request.uri_mut() = Uri::from(path);
     Ok(request)
 }
--- a/crates/bankvalve_link/src/client/mod.rs
+++ b/crates/bankvalve_link/src/client/mod.rs
@@ -1,7 +1,7 @@
-//! An HTTP client that keeps connections open.
+//! An HTTP client that keeps connections open between calls.
 
+mod connection_pools;
 mod held_connection;
-mod kept_connections;
 
 use std::io::ErrorKind;
 use std::time::Duration;
@@ -13,39 +13,40 @@
 use hyper::http::uri::Authority;
 use hyper::{Method, Request, Response};
 
-use self::held_connection::{with_path_alone, HeldConnection};
-use self::kept_connections::{ConnectionPool, KeptConnections};
+use self::connection_pools::{ConnectionPool, ConnectionPools};
+use self::held_connection::{to_origin_form, HeldConnection};
 
 pub use self::held_connection::HeldNumber;
 
-/// Time after which an idle connection is closed.
+/// Default time after which an idle connection is closed.
 const IDLE_TIME: Duration = Duration::from_secs(20);
-/// Time in which a connection must be made.
+/// Default timeout of a connection attempt.
 const CONNECT_TIME: Duration = Duration::from_secs(2);
 
-/// How a client keeps its connections.
+/// Limits and timeouts of a client's connections.
 #[derive(Clone, Copy, Debug)]
 pub struct ClientLimits {
-    /// Connections that stay open to each host while idle.
+    /// Maximum number of idle connections to each host.
     pub idle: usize,
     /// Time after which an idle connection is closed.
     pub idle_time: Duration,
-    /// Time in which a connection must be made.
+    /// Timeout of a connection attempt.
     pub connect_time: Duration,
-    /// Time for which sent bytes may stay unacknowledged.
+    /// Time that sent bytes may stay unacknowledged before the system closes the connection
+    /// (`TCP_USER_TIMEOUT`); `None` keeps the system's default.
     pub ack_timeout: Option<Duration>,
-    /// Largest reply in bytes.
+    /// Maximum size of a reply's body in bytes.
     pub reply_bytes: usize,
 }
 
-/// Why a request has no reply.
+/// Why a request has no reply, and whether it may have been received.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ClientFailure {
-    /// It was surely not sent: its port refused the connection, so nothing listens there.
+    /// Not sent: the connection was refused or reset, so nothing listens on the port.
     Refused(String),
-    /// It was surely not sent: no connection could be made, in time or at all.
+    /// Not sent: the request is invalid, or no connection could be opened or reused.
     NotSent(String),
-    /// It may have been received.
+    /// No reply arrived; the request may have been received.
     NoReply(String),
 }
 
@@ -59,24 +60,25 @@
     }
 }
 
-/// How a call ended that has no reply, though its connection was made.
+/// Why a call ended without a reply.
 enum CallEnd {
-    /// Nothing acknowledged what was sent.
-    Silent,
-    /// Anything else.
+    /// No answer came in time, or the peer's system did not acknowledge the sent bytes in time.
+    Unanswered,
+    /// Any other failure.
     Failed(ClientFailure),
 }
 
 impl CallEnd {
+    /// Classifies an error of a call whose connection was open.
     fn of(error: &(dyn std::error::Error + 'static)) -> Self {
         match system_cause(error) {
-            Some(ErrorKind::TimedOut) => CallEnd::Silent,
+            Some(ErrorKind::TimedOut) => CallEnd::Unanswered,
             _ => CallEnd::Failed(ClientFailure::NoReply(error.to_string())),
         }
     }
 }
 
-/// What the system said, if an error comes from it.
+/// Returns the kind of the I/O error that caused an error, or `None` if there is none.
 fn system_cause(error: &(dyn std::error::Error + 'static)) -> Option<ErrorKind> {
     let mut cause = Some(error);
     while let Some(error) = cause {
@@ -88,32 +90,32 @@
     None
 }
 
-/// A reply.
+/// The reply to a request.
 #[derive(Clone, Debug)]
 pub struct HttpReply {
     /// Status code.
     pub status: u16,
-    /// Body, whole.
+    /// Complete body.
     pub body: Bytes,
-    /// Time after which to come back, in milliseconds.
+    /// Value of the `Retry-After` header, in milliseconds.
     pub retry_after_ms: Option<u64>,
 }
 
-/// A client; clones share their connections.
+/// An HTTP client; its clones share their connections.
 ///
-/// A call without an answer in time shows that the connections open to its address may be silent:
-/// none of them is used for a later call.
+/// After a call has timed out, the open connections to its address may all have stopped responding, so
+/// later calls use none of them.
 ///
 /// **NOTE** Must be used inside a tokio runtime with I/O and time enabled.
 #[derive(Clone, Debug)]
 pub struct HttpClient {
-    kept: KeptConnections,
+    pools: ConnectionPools,
     limits: ClientLimits,
 }
 
 impl HttpClient {
-    /// Makes a client that keeps at most `idle` connections to each host and
-    /// takes replies of at most `reply_bytes`.
+    /// Creates a client that keeps at most `idle` idle connections to each host and
+    /// accepts replies of at most `reply_bytes`.
     ///
     /// # Examples
     ///
@@ -130,19 +132,19 @@
         })
     }
 
-    /// Makes a client that keeps its connections as the limits say.
+    /// Creates a client with the given limits.
     pub fn with_limits(limits: ClientLimits) -> Self {
         Self {
-            kept: KeptConnections::new(limits),
+            pools: ConnectionPools::new(limits),
             limits,
         }
     }
 
-    /// Sends a request and waits for the whole reply.
+    /// Sends a request and waits for the complete reply, for at most `time`.
     ///
     /// # Errors
     ///
-    /// Returns whether the request may have been received.
+    /// Returns why there is no reply, and whether the request may have been received.
     pub async fn send(
         &self,
         method: Method,
@@ -152,23 +154,26 @@
         body: impl Into<Bytes>,
         time: Duration,
     ) -> Result<HttpReply, ClientFailure> {
-        let request = request_of(method, url, headers, content_type, body.into())?;
+        let request = build_request(method, url, headers, content_type, body.into())?;
         let address = address_of(&request, url)?;
-        let (pool, generation) = self.kept.pool(&address);
+        let (pool, generation) = self.pools.pool(&address);
         let exchange = tokio::time::timeout(time, self.exchange(&pool, request));
-        let end = exchange.await.unwrap_or(Err(CallEnd::Silent));
-        self.note_end(&address, generation, end)
+        let end = exchange.await.unwrap_or(Err(CallEnd::Unanswered));
+        self.record_end(&address, generation, end)
     }
 
-    /// Sends a request on the connection that is held to its address and tells the number of that connection, or
-    /// on a new one, which is held from then on. One call at a time goes on it.
+    /// Sends a request on the held connection to its address; returns the reply and the connection's number.
     ///
-    /// With `only` it is sent on the connection of that number alone. A connection ends with the process that it
-    /// leads to, so the request reaches the process that answered on it, or none.
+    /// Opens a new connection if none is free, and holds the connection after the reply. Calls do not share a
+    /// held connection at the same time.
+    ///
+    /// With `only`, the request goes on the connection of that number or is not sent. A connection ends with
+    /// the process at its other end, so the request reaches the process that answered on it before, or none.
     ///
     /// # Errors
     ///
-    /// Returns whether the request may have been received; `NotSent` if the only connection has ended.
+    /// Returns why there is no reply, and whether the request may have been received; `NotSent` if the
+    /// connection `only` has ended or is not the one that is held.
     pub async fn send_held(
         &self,
         method: Method,
@@ -178,23 +183,25 @@
         body: impl Into<Bytes>,
         (only, time): (Option<HeldNumber>, Duration),
     ) -> Result<(HttpReply, HeldNumber), ClientFailure> {
-        let request = request_of(method, url, headers, content_type, body.into())?;
+        let request = build_request(method, url, headers, content_type, body.into())?;
         let address = address_of(&request, url)?;
-        let request = with_path_alone(request, &address)?;
-        let (held, generation) = self.kept.take_held(&address);
+        let request = to_origin_form(request, &address)?;
+        let (held, generation) = self.pools.take_held(&address);
         let exchange = async {
             let mut held = self.ready_connection(&address, held, only).await?;
             let reply = self.exchange_on(&mut held, request).await?;
             let number = held.number;
-            self.kept.hold(&address, generation, held);
+            self.pools.hold(&address, generation, held);
             Ok((reply, number))
         };
         let exchange = tokio::time::timeout(time, exchange);
-        let end = exchange.await.unwrap_or(Err(CallEnd::Silent));
-        self.note_end(&address, generation, end)
+        let end = exchange.await.unwrap_or(Err(CallEnd::Unanswered));
+        self.record_end(&address, generation, end)
     }
 
-    /// The connection for a call: the one that was held, if it is open, or a new one.
+    /// Returns the connection for a call: the held one if it is open, otherwise a new one.
+    ///
+    /// Fails if `only` is given and is not the number of the open held connection.
     async fn ready_connection(
         &self,
         address: &Authority,
@@ -208,26 +215,28 @@
             }
         }
         if only.is_some() {
-            let text = "the connection has ended".to_owned();
+            let text = "the requested connection has ended".to_owned();
             return Err(CallEnd::Failed(ClientFailure::NotSent(text)));
         }
-        HeldConnection::connect(address, self.kept.next_number(), &self.limits).await
+        HeldConnection::connect(address, self.pools.next_number(), &self.limits).await
     }
 
-    /// Sends a request and waits a time for the reply to begin, and then for its whole body as long
-    /// as that goes on: no pause in it may be longer than `pause`.
+    /// Sends a GET request whose reply may take long to arrive.
+    ///
+    /// The head of the reply must arrive within `time`. The body may then take any time, as long as each part
+    /// of it arrives within `pause` of the part before.
     ///
-    /// `begins` is called when the reply has begun, with the size of its body if that is told.
+    /// Calls `on_begin` when the head has arrived, with the size of the body if it is known.
     ///
     /// # Errors
     ///
-    /// Returns whether the request may have been received.
+    /// Returns why there is no reply, and whether the request may have been received.
     pub async fn send_long(
         &self,
         url: &str,
         content_type: &'static str,
         (time, pause): (Duration, Duration),
-        begins: impl FnOnce(Option<u64>),
+        on_begin: impl FnOnce(Option<u64>),
     ) -> Result<HttpReply, ClientFailure> {
         let request = Request::builder()
             .method(Method::GET)
@@ -236,13 +245,13 @@
             .body(Full::new(Bytes::new()))
             .map_err(|error| ClientFailure::NotSent(error.to_string()))?;
         let address = address_of(&request, url)?;
-        let (pool, generation) = self.kept.pool(&address);
-        let exchange = self.exchange_long(&pool, request, (time, pause), begins);
-        self.note_end(&address, generation, exchange.await)
+        let (pool, generation) = self.pools.pool(&address);
+        let exchange = self.exchange_long(&pool, request, (time, pause), on_begin);
+        self.record_end(&address, generation, exchange.await)
     }
 
-    /// Notes how a call ended on the connections among which it was.
-    fn note_end<R>(
+    /// Records the end of a call: replaces the pool of its generation if the call was unanswered.
+    fn record_end<R>(
         &self,
         address: &Authority,
         generation: u64,
@@ -250,13 +259,13 @@
     ) -> Result<R, ClientFailure> {
         match end {
             Ok(reply) => {
-                self.kept.note_answer(address, generation);
+                self.pools.record_answer(address, generation);
                 Ok(reply)
             }
             Err(CallEnd::Failed(failure)) => Err(failure),
-            Err(CallEnd::Silent) => {
-                self.kept.give_up(address, generation);
-                Err(ClientFailure::NoReply("out of time".into()))
+            Err(CallEnd::Unanswered) => {
+                self.pools.replace_pool(address, generation);
+                Err(ClientFailure::NoReply("timed out".into()))
             }
         }
     }
@@ -266,22 +275,22 @@
         pool: &ConnectionPool,
         request: Request<Full<Bytes>>,
         (time, pause): (Duration, Duration),
-        begins: impl FnOnce(Option<u64>),
+        on_begin: impl FnOnce(Option<u64>),
     ) -> Result<HttpReply, CallEnd> {
-        let out_of_time = |_| CallEnd::Silent;
+        let timed_out = |_| CallEnd::Unanswered;
         let begun = tokio::time::timeout(time, begin(pool, request));
-        let response = begun.await.map_err(out_of_time)??;
-        let (status, retry_after_ms) = head_of(&response);
-        begins(response.body().size_hint().exact());
+        let response = begun.await.map_err(timed_out)??;
+        let (status, retry_after_ms) = status_and_retry_after(&response);
+        on_begin(response.body().size_hint().exact());
         let mut body = Limited::new(response.into_body(), self.limits.reply_bytes);
-        let mut whole = BytesMut::new();
+        let mut received = BytesMut::new();
         loop {
             let frame = tokio::time::timeout(pause, body.frame());
-            match frame.await.map_err(out_of_time)? {
+            match frame.await.map_err(timed_out)? {
                 None => break,
                 Some(Ok(frame)) => {
                     if let Some(data) = frame.data_ref() {
-                        whole.extend_from_slice(data);
+                        received.extend_from_slice(data);
                     }
                 }
                 Some(Err(error)) => return Err(CallEnd::of(&*error)),
@@ -289,7 +298,7 @@
         }
         Ok(HttpReply {
             status,
-            body: whole.freeze(),
+            body: received.freeze(),
             retry_after_ms,
         })
     }
@@ -300,22 +309,22 @@
         request: Request<Full<Bytes>>,
     ) -> Result<HttpReply, CallEnd> {
         let response = begin(pool, request).await?;
-        self.take_reply(response).await
+        self.read_reply(response).await
     }
 
-    /// Exchanges a request and its reply on a connection.
+    /// Sends a request on a held connection and reads its reply.
     async fn exchange_on(
         &self,
         held: &mut HeldConnection,
         request: Request<Full<Bytes>>,
     ) -> Result<HttpReply, CallEnd> {
         let response = held.sender.send_request(request).await;
-        self.take_reply(response.map_err(|error| CallEnd::of(&error))?)
+        self.read_reply(response.map_err(|error| CallEnd::of(&error))?)
             .await
     }
 
-    async fn take_reply(&self, response: Response<Incoming>) -> Result<HttpReply, CallEnd> {
-        let (status, retry_after_ms) = head_of(&response);
+    async fn read_reply(&self, response: Response<Incoming>) -> Result<HttpReply, CallEnd> {
+        let (status, retry_after_ms) = status_and_retry_after(&response);
         let body = Limited::new(response.into_body(), self.limits.reply_bytes)
             .collect()
             .await
@@ -329,7 +338,7 @@
     }
 }
 
-fn request_of(
+fn build_request(
     method: Method,
     url: &str,
     headers: &[(&'static str, String)],
@@ -352,10 +361,10 @@
 
 fn address_of(request: &Request<Full<Bytes>>, url: &str) -> Result<Authority, ClientFailure> {
     let address = request.uri().authority().cloned();
-    address.ok_or_else(|| ClientFailure::NotSent(format!("{url}: expected an address")))
+    address.ok_or_else(|| ClientFailure::NotSent(format!("{url}: expected a host in the URL")))
 }
 
-/// Sends a request and waits until its reply begins.
+/// Sends a request and waits for the head of its reply.
 async fn begin(
     pool: &ConnectionPool,
     request: Request<Full<Bytes>>,
@@ -372,8 +381,8 @@
     })
 }
 
-/// Status of a response, and the time after which to come back, in milliseconds.
-fn head_of(response: &Response<Incoming>) -> (u16, Option<u64>) {
+/// Returns the status of a response and its `Retry-After` header in milliseconds.
+fn status_and_retry_after(response: &Response<Incoming>) -> (u16, Option<u64>) {
     let retry_after_ms = response
         .headers()
         .get(hyper::header::RETRY_AFTER)
