--- a/crates/bankvalve_link/src/keys/mod.rs
+++ b/crates/bankvalve_link/src/keys/mod.rs
@@ -1,9 +1,9 @@
-//! Keys that tell callers, operators and peers apart.
+//! Authentication of callers, operators and peers.
 //!
-//! Each kind of link has its own header, and a key of one kind is never
-//! looked at on a link of another. A caller shows a token; the settings hold
-//! only its hash. An operator signs each command with Ed25519. Peers
-//! authenticate each batch with a key that all instances share.
+//! Each kind of link has its own header, and a link never checks the keys of
+//! another kind. A caller sends a token; the settings hold only the token's
+//! SHA-256 hash. An operator signs each command with Ed25519. Peers authenticate
+//! each batch with an HMAC-SHA256 under a key that all instances share.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -13,31 +13,31 @@
 use serde::{Deserialize, Serialize};
 use sha2::{Digest, Sha256};
 
-/// Largest difference between an operator's clock and an instance's.
+/// Maximum difference between the time of an operator's signature and an instance's clock.
 pub const CLOCK_SLACK: Duration = Duration::from_secs(120);
 
-/// Header that carries a caller's token.
+/// Header with a caller's token.
 const CALLER_HEADER: &str = "authorization";
-/// Header that carries an operator's signature.
+/// Header with an operator's name, the time of the signature and the signature.
 const OPERATOR_HEADER: &str = "bankvalve-operator";
-/// Header that carries a peer's authentication.
+/// Header with a peer's authentication code.
 const PEER_HEADER: &str = "bankvalve-peer";
 
-/// A caller's key as the settings hold it.
+/// A caller's key in the settings.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct CallerKey {
-    /// Team that the key speaks for.
+    /// Team that the key authenticates.
     pub team: String,
     /// SHA-256 of the token, in hexadecimal.
     pub token_sha256: String,
 }
 
-/// An operator's key as the settings hold it.
+/// An operator's key in the settings.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct OperatorKey {
-    /// The operator.
+    /// Name of the operator.
     pub name: String,
     /// Ed25519 public key, in hexadecimal.
     pub public_key: String,
@@ -46,15 +46,15 @@
 /// Why a key was not accepted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum KeyFailure {
-    /// The header of this kind of link is missing.
+    /// The link's key header is missing.
     Missing,
-    /// The header cannot be read.
+    /// The header cannot be parsed.
     Malformed,
-    /// No such caller, operator or peer is known.
+    /// The settings have no such caller or operator.
     Unknown,
-    /// The signature does not match.
+    /// The signature or authentication code does not match the request.
     Wrong,
-    /// The signature was made too long ago, or in the future.
+    /// The time of the signature differs from the instance's clock by more than [`CLOCK_SLACK`].
     Stale,
 }
 
@@ -70,7 +70,7 @@
     }
 }
 
-/// Signs batches to peers.
+/// Authenticates batches to peers.
 #[derive(Clone)]
 pub struct PeerSigner {
     key: Vec<u8>,
@@ -83,13 +83,13 @@
 }
 
 impl PeerSigner {
-    /// Makes a signer from the key that all instances share.
+    /// Creates a signer from the key that all instances share.
     pub fn new(key: &str) -> Self {
         let key = key.as_bytes().to_vec();
         Self { key }
     }
 
-    /// The header for a request with this path and body.
+    /// Returns the name and value of the header for a request with this path and body.
     pub fn header(&self, path: &str, body: &[u8]) -> (&'static str, String) {
         let tag = self.mac(path, body).finalize().into_bytes();
         (PEER_HEADER, hex::encode(tag))
@@ -104,7 +104,7 @@
     }
 }
 
-/// Signs an operator's commands.
+/// Signs commands of an operator.
 #[derive(Clone)]
 pub struct OperatorSigner {
     name: String,
@@ -120,9 +120,9 @@
 }
 
 impl OperatorSigner {
-    /// Makes a signer from an operator's name and secret key in hexadecimal.
+    /// Creates a signer from an operator's name and secret key in hexadecimal.
     ///
-    /// Returns none if the key is not 32 bytes in hexadecimal.
+    /// Returns `None` if the key is not 32 bytes in hexadecimal.
     ///
     /// # Examples
     ///
@@ -140,13 +140,15 @@
         })
     }
 
-    /// The public key, in hexadecimal.
+    /// Returns the public key, in hexadecimal.
     pub fn public_key(&self) -> String {
         hex::encode(self.key.verifying_key().as_bytes())
     }
 }
 
-/// The header that signs an operator's command, made at a time in seconds since the Unix epoch.
+/// Returns the name and value of the header that signs an operator's command.
+///
+/// `unix_seconds` is the time of the signature in seconds since the Unix epoch.
 pub fn sign_command(
     signer: &OperatorSigner,
     unix_seconds: u64,
@@ -164,13 +166,14 @@
     (OPERATOR_HEADER, value)
 }
 
+/// Returns the bytes that an operator signs.
 fn command_text(unix_seconds: u64, method: &str, path: &str, body: &[u8]) -> Vec<u8> {
     let mut text = format!("bankvalve\n{unix_seconds}\n{method}\n{path}\n").into_bytes();
     text.extend_from_slice(body);
     text
 }
 
-/// The keys that an instance accepts.
+/// The keys that an instance accepts, by kind of link.
 #[derive(Clone, Debug)]
 pub struct KeyRing {
     callers: BTreeMap<Vec<u8>, String>,
@@ -179,11 +182,11 @@
 }
 
 impl KeyRing {
-    /// Makes a ring from the keys in the settings.
+    /// Creates a key ring from the keys in the settings.
     ///
     /// # Errors
     ///
-    /// Returns the place of the first key that is not as it must be, such as
+    /// Returns the path of the first malformed key within the key settings, such as
     /// `callers[2].token_sha256`.
     pub fn new(
         callers: &[CallerKey],
@@ -203,23 +206,23 @@
             ring.callers.insert(hash, key.team.clone());
         }
         for (index, key) in operators.iter().enumerate() {
-            let place = || format!("operators[{index}].public_key");
+            let location = || format!("operators[{index}].public_key");
             let bytes = hex::decode(&key.public_key)
                 .ok()
                 .and_then(|bytes| bytes.try_into().ok());
-            let bytes: [u8; 32] = bytes.ok_or_else(place)?;
-            let public = VerifyingKey::from_bytes(&bytes).map_err(|_| place())?;
+            let bytes: [u8; 32] = bytes.ok_or_else(location)?;
+            let public = VerifyingKey::from_bytes(&bytes).map_err(|_| location())?;
             ring.operators.insert(key.name.clone(), public);
         }
         Ok(ring)
     }
 
-    /// Signs batches to peers.
+    /// Returns the signer of batches to peers.
     pub fn peer_signer(&self) -> &PeerSigner {
         &self.peers
     }
 
-    /// The team that a caller's key speaks for.
+    /// Checks a caller's token and returns its team.
     ///
     /// # Errors
     ///
@@ -234,7 +237,7 @@
         Ok(team)
     }
 
-    /// The operator who signed a command.
+    /// Checks the signature of a command and returns the name of the operator who signed it.
     ///
     /// # Errors
     ///
@@ -269,11 +272,11 @@
         Ok(name)
     }
 
-    /// Checks that a batch comes from a peer.
+    /// Checks the authentication code of a batch from a peer.
     ///
     /// # Errors
     ///
-    /// Returns why the authentication was not accepted.
+    /// Returns why the authentication code was not accepted.
     pub fn check_peer(
         &self,
         header: Option<&str>,
@@ -286,7 +289,7 @@
         mac.verify_slice(&tag).map_err(|_| KeyFailure::Wrong)
     }
 
-    /// Names of the headers by kind of link: caller, operator, peer.
+    /// Returns the names of the key headers: caller, operator, peer.
     pub fn headers() -> (&'static str, &'static str, &'static str) {
         (CALLER_HEADER, OPERATOR_HEADER, PEER_HEADER)
     }
--- a/crates/bankvalve_link/src/lib.rs
+++ b/crates/bankvalve_link/src/lib.rs
@@ -1,9 +1,9 @@
-//! Carries messages between bankvalve, its callers, its workers and the platform.
+//! HTTP links between bankvalve, its callers, its workers and the platform.
 //!
-//! Start with [`HttpServer`], which bounds what a peer can cost, and
-//! [`HttpClient`], which keeps connections open between exchanges. Messages
-//! between processes are encoded by [`encode_message`]; [`KeyRing`] tells the
-//! kinds of peers apart.
+//! Start with [`HttpServer`], which limits connections and the size and time of requests,
+//! and [`HttpClient`], which keeps connections open between calls.
+//! [`encode_message`] encodes messages between processes. [`KeyRing`]
+//! authenticates callers, operators and peers.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
--- a/crates/bankvalve_link/src/server/http_server.rs
+++ b/crates/bankvalve_link/src/server/http_server.rs
@@ -1,4 +1,4 @@
-//! An HTTP server on a thread of its own.
+//! An HTTP server that runs on a separate thread.
 
 use std::convert::Infallible;
 use std::future::Future;
@@ -18,12 +18,12 @@
 
 use super::{ServerCounters, ServerLimits, ServerTls};
 
-/// Largest head of a request in bytes.
-const HEAD_BYTES: usize = 16 * 1024;
-/// Headers of a request at most.
-const HEADER_COUNT: usize = 64;
+/// Maximum size of a request's head in bytes.
+const MAX_HEAD_BYTES: usize = 16 * 1024;
+/// Maximum number of headers of a request.
+const MAX_HEADERS: usize = 64;
 
-/// A request that arrived whole.
+/// A request that has arrived completely.
 #[derive(Debug)]
 pub struct HttpRequest {
     /// Method, such as `GET`.
@@ -39,13 +39,13 @@
 }
 
 impl HttpRequest {
-    /// A header as text, if it is there and is text.
+    /// Returns the value of a header, or `None` if the header is missing or not text.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.get(name)?.to_str().ok()
     }
 }
 
-/// Body of an answer and what it is.
+/// Body of an answer and its content type.
 #[derive(Clone, Debug, Default)]
 pub struct AnswerBody {
     /// Content type.
@@ -54,21 +54,21 @@
     pub content: Bytes,
 }
 
-/// An answer.
+/// The answer to a request.
 #[derive(Clone, Debug)]
 pub struct HttpAnswer {
     /// Status code.
     pub status: u16,
     /// Body.
     pub body: AnswerBody,
-    /// Time after which to come back, in milliseconds.
+    /// Time after which the client may retry, in milliseconds; sent as `Retry-After`, rounded up to seconds.
     pub retry_after_ms: Option<u64>,
-    /// Whether the connection is closed after the answer.
+    /// Whether the server closes the connection after the answer.
     pub close: bool,
 }
 
 impl HttpAnswer {
-    /// An answer with a body.
+    /// Creates an answer with a body.
     pub fn new(status: u16, content_type: &'static str, content: impl Into<Bytes>) -> Self {
         let content = content.into();
         Self {
@@ -82,7 +82,7 @@
         }
     }
 
-    /// An answer without a body.
+    /// Creates an answer without a body.
     pub fn empty(status: u16) -> Self {
         Self::new(status, "text/plain", Bytes::new())
     }
@@ -91,7 +91,7 @@
 type AnswerFuture = Pin<Box<dyn Future<Output = HttpAnswer> + Send>>;
 type RequestHandler = Arc<dyn Fn(HttpRequest) -> AnswerFuture + Send + Sync>;
 
-/// A running server; dropping it stops accepting and ends its thread.
+/// A running server; dropping it stops accepting connections, closes the open ones and joins its thread.
 ///
 /// # Examples
 ///
@@ -114,7 +114,7 @@
 }
 
 impl HttpServer {
-    /// Starts a server on a listener; `name` names its thread.
+    /// Starts a server on a listener, in a thread with the given name.
     ///
     /// # Errors
     ///
@@ -131,7 +131,7 @@
         Self::start_with(name, listener, limits, None, handler)
     }
 
-    /// Starts a server that encrypts if it is given a key and certificate.
+    /// Starts a server that uses TLS if it has a key and certificate.
     ///
     /// # Errors
     ///
@@ -154,13 +154,14 @@
         let runtime = tokio::runtime::Builder::new_current_thread()
             .enable_all()
             .build()?;
-        let counted = counters.clone();
+        let shared_counters = counters.clone();
         let thread = thread::Builder::new()
             .name(name.to_owned())
             .spawn(move || {
-                let accepting = accept_all(listener, limits, tls, handler, counted, stopped);
+                let accepting =
+                    accept_all(listener, limits, tls, handler, shared_counters, stopped);
                 if let Err(error) = runtime.block_on(accepting) {
-                    log::error!("server: listening on {address} failed: {error}");
+                    log::error!("server: cannot accept connections on {address}: {error}");
                 }
             })?;
         Ok(Self {
@@ -171,12 +172,12 @@
         })
     }
 
-    /// Address that the server listens on.
+    /// Returns the address that the server listens on.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// What the server has counted.
+    /// Returns the server's counters.
     pub fn counters(&self) -> Arc<ServerCounters> {
         self.counters.clone()
     }
@@ -191,6 +192,7 @@
     }
 }
 
+/// Accepts and serves connections until the server is dropped.
 async fn accept_all(
     listener: TcpListener,
     limits: ServerLimits,
@@ -206,7 +208,7 @@
             _ = stopped.changed() => return Ok(()),
         };
         let Ok((stream, _)) = accepted else {
-            // Out of descriptors, say; others may close theirs meanwhile.
+            // The process may have no free file descriptors. A short wait lets other connections close.
             tokio::time::sleep(std::time::Duration::from_millis(5)).await;
             continue;
         };
@@ -229,7 +231,7 @@
     }
 }
 
-/// Serves a connection, after the handshake if the server encrypts.
+/// Serves a connection, after a TLS handshake if the server uses TLS, and updates the counters at its end.
 async fn serve_stream(
     stream: tokio::net::TcpStream,
     limits: ServerLimits,
@@ -255,7 +257,7 @@
         .fetch_sub(1, std::sync::atomic::Ordering::Relaxed);
 }
 
-/// Serves a connection to its end; returns whether all requests were well formed.
+/// Serves a connection until it ends; returns whether it ended without an error.
 async fn serve_connection<S>(
     stream: S,
     limits: ServerLimits,
@@ -265,24 +267,25 @@
 where
     S: tokio::io::AsyncRead + tokio::io::AsyncWrite + Unpin,
 {
-    let counted = counters.clone();
+    let shared_counters = counters.clone();
     let service = service_fn(move |request| {
         let handler = handler.clone();
-        let counters = counted.clone();
+        let counters = shared_counters.clone();
         async move { Ok::<_, Infallible>(serve_request(request, limits, handler, &counters).await) }
     });
     let mut builder = hyper::server::conn::http1::Builder::new();
     builder
         .timer(TokioTimer::new())
         .header_read_timeout(limits.header_time)
-        .max_headers(HEADER_COUNT)
-        .max_buf_size(HEAD_BYTES.max(8192));
+        .max_headers(MAX_HEADERS)
+        .max_buf_size(MAX_HEAD_BYTES.max(8192));
     let served = builder
         .serve_connection(TokioIo::new(stream), service)
         .await;
     served.is_ok()
 }
 
+/// Reads a request's body, calls the handler and returns the response.
 async fn serve_request(
     request: Request<Incoming>,
     limits: ServerLimits,
@@ -296,15 +299,15 @@
         Ok(Ok(body)) => body.to_bytes(),
         Ok(Err(error)) if error.is::<LengthLimitError>() => {
             ServerCounters::count(&counters.oversized);
-            return closing(StatusCode::PAYLOAD_TOO_LARGE);
+            return closing_response(StatusCode::PAYLOAD_TOO_LARGE);
         }
         Ok(Err(_)) => {
             ServerCounters::count(&counters.cut_off);
-            return closing(StatusCode::BAD_REQUEST);
+            return closing_response(StatusCode::BAD_REQUEST);
         }
         Err(_) => {
             ServerCounters::count(&counters.cut_off);
-            return closing(StatusCode::REQUEST_TIMEOUT);
+            return closing_response(StatusCode::REQUEST_TIMEOUT);
         }
     };
     let request = HttpRequest {
@@ -318,7 +321,7 @@
     ServerCounters::count(&counters.answered);
     match answer {
         Ok(answer) => respond(answer),
-        Err(_) => closing(StatusCode::GATEWAY_TIMEOUT),
+        Err(_) => closing_response(StatusCode::GATEWAY_TIMEOUT),
     }
 }
 
@@ -334,11 +337,11 @@
     }
     builder
         .body(Full::new(answer.body.content))
-        .unwrap_or_else(|_| closing(StatusCode::INTERNAL_SERVER_ERROR))
+        .unwrap_or_else(|_| closing_response(StatusCode::INTERNAL_SERVER_ERROR))
 }
 
-/// An answer after which the connection is closed.
-fn closing(status: StatusCode) -> Response<Full<Bytes>> {
+/// Returns an empty response that closes the connection.
+fn closing_response(status: StatusCode) -> Response<Full<Bytes>> {
     let mut response = Response::new(Full::new(Bytes::new()));
     *response.status_mut() = status;
     let close = hyper::header::HeaderValue::from_static("close");
--- a/crates/bankvalve_link/src/server/listen.rs
+++ b/crates/bankvalve_link/src/server/listen.rs
@@ -1,16 +1,16 @@
-//! Listening with room for those who connect together.
+//! Listening sockets with a long accept queue, for bursts of new connections.
 
 use std::net::{SocketAddr, TcpListener};
 
 use socket2::{Domain, Protocol, Socket, Type};
 
-/// New connections that may wait to be accepted. When there are more, the system drops the opening
-/// packet, which is sent again after a second or more: most of the time that a caller waits. The
-/// standard library's 128 are used up by a burst on an instance that has spent its share of a core
-/// and stands still for a tenth of a second.
-const WAITING_CONNECTIONS: i32 = 1_024;
+/// Maximum number of new connections that wait to be accepted. The system drops the SYN packet of any
+/// further connection, and the caller sends it again only after a second or more, which is most of its
+/// timeout. The standard library's backlog of 128 is too short for a burst of connections to an instance
+/// that has used up its share of a core and is suspended for a tenth of a second.
+const ACCEPT_BACKLOG: i32 = 1_024;
 
-/// Listens on an address, with room for many new connections.
+/// Listens on an address, with a long accept queue.
 ///
 /// # Errors
 ///
@@ -28,9 +28,9 @@
         Type::STREAM,
         Some(Protocol::TCP),
     )?;
-    // As the standard library does, so that a restart finds its port free.
+    // As in the standard library: a restarted process can bind its port again at once.
     socket.set_reuse_address(true)?;
     socket.bind(&address.into())?;
-    socket.listen(WAITING_CONNECTIONS)?;
+    socket.listen(ACCEPT_BACKLOG)?;
     Ok(socket.into())
 }
--- a/crates/bankvalve_link/src/server/mod.rs
+++ b/crates/bankvalve_link/src/server/mod.rs
@@ -1,4 +1,4 @@
-//! HTTP servers that bound what each peer can cost.
+//! HTTP servers with limits on connections and on the size and time of requests.
 
 mod http_server;
 mod listen;
--- a/crates/bankvalve_link/src/server/server_limits.rs
+++ b/crates/bankvalve_link/src/server/server_limits.rs
@@ -1,9 +1,9 @@
-//! Limits of a server, and counters of what met them.
+//! Limits of a server, and counters of its connections and requests.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
 
-/// What a server grants its peers.
+/// Limits on the connections and requests of a server's clients.
 ///
 /// # Examples
 ///
@@ -15,15 +15,15 @@
 /// ```
 #[derive(Clone, Copy, Debug)]
 pub struct ServerLimits {
-    /// Connections open at once; more are closed when accepted.
+    /// Maximum number of open connections; further ones are closed as soon as they are accepted.
     pub connections: usize,
-    /// Time in which the next request's headers must arrive whole.
+    /// Time in which the headers of the next request must arrive completely.
     pub header_time: Duration,
-    /// Time in which a request's body must arrive whole.
+    /// Time in which the body of a request must arrive completely.
     pub body_time: Duration,
-    /// Largest body of a request in bytes.
+    /// Maximum size of a request's body in bytes.
     pub body_bytes: usize,
-    /// Time in which a request must be answered.
+    /// Time in which the handler must answer a request.
     pub answer_time: Duration,
 }
 
@@ -39,31 +39,32 @@
     }
 }
 
-/// What a server has counted.
+/// Counters of a server.
 #[derive(Debug, Default)]
 pub struct ServerCounters {
     /// Connections open now.
     pub open: AtomicU64,
     /// Connections accepted.
     pub accepted: AtomicU64,
-    /// Connections closed at once because too many were open.
+    /// Connections closed when accepted, because too many were open.
     pub refused: AtomicU64,
-    /// Connections that ended with a malformed or late request.
+    /// Connections that ended with an error, such as a malformed or late request or a failed TLS handshake.
     pub malformed: AtomicU64,
     /// Requests whose body was too large.
     pub oversized: AtomicU64,
-    /// Requests whose body came too slowly or not whole.
+    /// Requests whose body arrived too slowly or incompletely.
     pub cut_off: AtomicU64,
-    /// Requests answered.
+    /// Requests passed to the handler and answered, including those whose handler timed out.
     pub answered: AtomicU64,
 }
 
 impl ServerCounters {
+    /// Adds one to a counter.
     pub(super) fn count(counter: &AtomicU64) {
         counter.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// All counters with their names.
+    /// Returns all counters with their names.
     pub fn all(&self) -> [(&'static str, u64); 7] {
         let read = |counter: &AtomicU64| counter.load(Ordering::Relaxed);
         [
--- a/crates/bankvalve_link/src/server/server_tls.rs
+++ b/crates/bankvalve_link/src/server/server_tls.rs
@@ -1,4 +1,4 @@
-//! The key and certificate with which a server encrypts.
+//! TLS key and certificate of a server.
 
 use std::fmt;
 use std::sync::Arc;
@@ -9,7 +9,7 @@
 use rustls::ServerConfig;
 use tokio_rustls::TlsAcceptor;
 
-/// The key and certificate with which a server encrypts.
+/// TLS key and certificate chain of a server.
 #[derive(Clone)]
 pub struct ServerTls {
     pub(super) acceptor: TlsAcceptor,
@@ -26,7 +26,7 @@
     ///
     /// # Errors
     ///
-    /// Returns what was expected of the certificate or the key.
+    /// Returns a message that says what is wrong with the certificate or the key.
     ///
     /// # Examples
     ///
@@ -50,7 +50,9 @@
             .map_err(|error| error.to_string())?
             .with_no_client_auth()
             .with_single_cert(chain, key)
-            .map_err(|error| format!("expected a key that fits the certificate: {error}"))?;
+            .map_err(|error| {
+                format!("expected a private key that matches the certificate: {error}")
+            })?;
         Ok(Self {
             acceptor: TlsAcceptor::from(Arc::new(config)),
         })
--- a/crates/bankvalve_link/src/wire.rs
+++ b/crates/bankvalve_link/src/wire.rs
@@ -1,4 +1,4 @@
-//! Encoding of messages between processes.
+//! Encoding of messages between processes as MessagePack.
 
 use serde::de::DeserializeOwned;
 use serde::Serialize;
@@ -6,11 +6,11 @@
 /// Content type of encoded messages.
 pub const WIRE_TYPE: &str = "application/msgpack";
 
-/// Encodes a message.
+/// Encodes a message as MessagePack.
 ///
 /// # Panics
 ///
-/// Never for the messages of this workspace: all of their fields can be encoded.
+/// Panics if a field cannot be encoded. All fields of the messages of this workspace can be.
 ///
 /// # Examples
 ///
@@ -24,7 +24,7 @@
     rmp_serde::to_vec(message).expect("a message can be encoded")
 }
 
-/// Decodes a message; returns none if it is malformed.
+/// Decodes a message; returns `None` if it is malformed.
 pub fn decode_message<T: DeserializeOwned>(bytes: &[u8]) -> Option<T> {
     rmp_serde::from_slice(bytes).ok()
 }
