--- a/crates/bankvalve_link/tests/encryption.rs
+++ b/crates/bankvalve_link/tests/encryption.rs
@@ -1,4 +1,4 @@
-//! A server that encrypts serves those who trust its certificate, and nobody in the clear.
+//! A server with TLS serves clients that trust its certificate, and answers no unencrypted request.
 
 use std::io::{Read, Write};
 use std::net::{TcpListener, TcpStream};
@@ -7,7 +7,7 @@
 use rustls::pki_types::pem::PemObject;
 use rustls::pki_types::CertificateDer;
 
-/// A server with a certificate of its own, and that certificate in PEM.
+/// Starts a server with a self-signed certificate; returns the server and the certificate in PEM.
 fn start() -> (HttpServer, String) {
     let made = rcgen::generate_simple_self_signed(vec!["127.0.0.1".into()]).unwrap();
     let certificate = made.cert.pem();
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn request_in_the_clear_is_refused() {
+fn unencrypted_request_is_refused() {
     let (server, _) = start();
     let mut stream = TcpStream::connect(server.address()).unwrap();
     stream
--- a/crates/bankvalve_link/tests/held.rs
+++ b/crates/bankvalve_link/tests/held.rs
@@ -1,4 +1,4 @@
-//! Calls that may go on one connection alone.
+//! Calls on a held connection.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -10,12 +10,12 @@
 use hyper::Method;
 use tokio::runtime::{Builder, Runtime};
 
-/// Longest wait for an answer; one on the loopback takes under a millisecond.
+/// Timeout of a call; an answer on the loopback takes under a millisecond.
 const ANSWER_TIME: Duration = Duration::from_millis(400);
-/// Answer to every request.
+/// Answer to each request.
 const ANSWER: &[u8] = b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok";
 
-/// Accepts one connection, answers so many requests on it, and closes it and the port.
+/// Accepts one connection, answers `requests` requests on it, and closes the connection and the port.
 fn serve_once(listener: TcpListener, requests: usize, ended: Sender<()>) {
     thread::spawn(move || {
         let (mut stream, _) = listener.accept().expect("a connection");
@@ -29,7 +29,7 @@
     });
 }
 
-/// Reads the head of a request without a body.
+/// Reads the head of a request without a body; returns false if the connection ends first.
 fn read_request(stream: &mut TcpStream) -> bool {
     let mut head = Vec::new();
     let mut byte = [0];
@@ -42,7 +42,7 @@
     false
 }
 
-/// A server for one connection, and word of its end.
+/// Starts a server for one connection; returns its address and a receiver that gets a message at its end.
 fn server(address: &str, requests: usize) -> (SocketAddr, Receiver<()>) {
     let listener = TcpListener::bind(address).expect("a port");
     let address = listener.local_addr().expect("an address");
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn calls_one_after_the_other_go_on_one_connection() {
+fn consecutive_calls_use_one_connection() {
     let (address, has_ended) = server("127.0.0.1:0", 3);
     let client = HttpClient::new(4, 1_000);
     runtime().block_on(async {
@@ -83,7 +83,7 @@
     has_ended.recv().expect("three requests on one connection");
 }
 
-/// Guards against a call that reaches the process that listens next at an address.
+/// Guards against a call that reaches another process which later listens at the same address.
 #[test]
 fn a_call_for_one_connection_is_not_sent_on_another() {
     let (address, has_ended) = server("127.0.0.1:0", 1);
@@ -94,24 +94,24 @@
         let (_, next_ended) = server(&address.to_string(), 1);
         let bound = call(&client, address, Some(first)).await;
         assert!(bound.is_err(), "{bound:?}");
-        // The only request that the next server reads is this one.
+        // The next server answers only one request, and it is this one.
         let (_, second) = call(&client, address, None).await.expect("a reply");
         assert_ne!(second, first);
         next_ended.recv().expect("one request");
     });
 }
 
-/// Guards against calls that wait on a connection which has gone silent.
+/// Guards against calls that wait on a connection which no longer responds.
 #[test]
-fn a_connection_on_which_no_answer_came_in_time_is_not_used_again() {
+fn a_connection_with_a_timed_out_call_is_not_reused() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("an address");
     let (ended, _has_ended) = mpsc::channel();
     let server = thread::spawn(move || {
-        let (mut silent, _) = listener.accept().expect("a connection");
-        assert!(read_request(&mut silent));
+        let (mut stalled, _) = listener.accept().expect("a connection");
+        assert!(read_request(&mut stalled));
         serve_once(listener, 1, ended);
-        silent
+        stalled
     });
     let client = HttpClient::new(4, 1_000);
     runtime().block_on(async {
--- a/crates/bankvalve_link/tests/silence.rs
+++ b/crates/bankvalve_link/tests/silence.rs
@@ -1,4 +1,4 @@
-//! Connections that go silent for good, without a reset, while new ones work.
+//! Open connections that stop responding for good, without a reset, while new ones work.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -10,30 +10,30 @@
 use bankvalve_link::{ClientFailure, ClientLimits, HttpClient, HttpReply};
 use hyper::Method;
 
-/// Connections that the client keeps open to one address.
-const KEPT: usize = 6;
-/// Longest wait for an answer; one on the loopback takes under a millisecond.
+/// Maximum number of idle connections that the client keeps open to one address.
+const POOLED: usize = 6;
+/// Timeout of a call; an answer on the loopback takes under a millisecond.
 const ANSWER_TIME: Duration = Duration::from_millis(400);
-/// Answer to every request that is heard.
+/// Answer to each request on a connection that responds.
 const ANSWER: &[u8] = b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok";
 
-/// A server whose open connections can be made silent, all at once and for good.
-struct SilentServer {
+/// A server that can stop responding on all of its open connections at once, for good.
+struct StallingServer {
     address: SocketAddr,
     accepted: Arc<AtomicUsize>,
-    silent_below: Arc<AtomicU64>,
+    stalled_below: Arc<AtomicU64>,
 }
 
-impl SilentServer {
-    /// Starts a server; its first requests are answered once so many have come, so that they need
-    /// as many connections.
+impl StallingServer {
+    /// Starts a server. It answers the first request of each of the first `together` connections only when
+    /// all of them have one, so the client must open as many connections.
     fn start(together: usize) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
         let accepted = Arc::new(AtomicUsize::new(0));
-        let silent_below = Arc::new(AtomicU64::new(0));
+        let stalled_below = Arc::new(AtomicU64::new(0));
         let barrier = Arc::new(Barrier::new(together));
-        let (count, below) = (accepted.clone(), silent_below.clone());
+        let (count, below) = (accepted.clone(), stalled_below.clone());
         thread::spawn(move || {
             for stream in listener.incoming() {
                 let number = count.fetch_add(1, Ordering::AcqRel);
@@ -52,14 +52,14 @@
         Self {
             address,
             accepted,
-            silent_below,
+            stalled_below,
         }
     }
 
-    /// Makes all connections silent that are open now.
-    fn silence(&self) {
+    /// Stops responding on all connections accepted so far.
+    fn stall_open_connections(&self) {
         let open = self.accepted.load(Ordering::Acquire) as u64;
-        self.silent_below.store(open, Ordering::Release);
+        self.stalled_below.store(open, Ordering::Release);
     }
 
     fn accepted(&self) -> usize {
@@ -67,8 +67,8 @@
     }
 }
 
-/// Answers the requests of a connection until it goes silent; then it stays open.
-fn serve(mut stream: TcpStream, number: u64, first: Option<&Barrier>, silent_below: &AtomicU64) {
+/// Answers the requests of a connection until it is stalled, and then keeps it open.
+fn serve(mut stream: TcpStream, number: u64, first: Option<&Barrier>, stalled_below: &AtomicU64) {
     let mut first = first;
     let mut head = Vec::new();
     let mut byte = [0];
@@ -81,8 +81,8 @@
         if let Some(barrier) = first.take() {
             barrier.wait();
         }
-        if number < silent_below.load(Ordering::Acquire) {
-            // Nothing more is read or answered; the test's end closes it.
+        if number < stalled_below.load(Ordering::Acquire) {
+            // Reads and answers nothing more; the connection closes when the test process ends.
             thread::park();
         }
         let _ = stream.write_all(ANSWER);
@@ -95,7 +95,7 @@
 
 fn client_with(ack_timeout: Option<Duration>) -> HttpClient {
     HttpClient::with_limits(ClientLimits {
-        idle: KEPT,
+        idle: POOLED,
         idle_time: Duration::from_secs(90),
         connect_time: ANSWER_TIME,
         ack_timeout,
@@ -111,7 +111,7 @@
         .await
 }
 
-/// Makes so many calls side by side; returns how many were answered.
+/// Makes `count` concurrent calls; returns how many were answered.
 async fn call_together(client: &HttpClient, address: SocketAddr, count: usize) -> usize {
     let calls = (0..count).map(|_| {
         let client = client.clone();
@@ -134,54 +134,54 @@
 #[test]
 fn one_time_out_shows_that_all_kept_connections_are_silent() {
     run(async {
-        let server = SilentServer::start(KEPT);
+        let server = StallingServer::start(POOLED);
         let client = client();
-        assert_eq!(call_together(&client, server.address, KEPT).await, KEPT);
-        server.silence();
+        assert_eq!(call_together(&client, server.address, POOLED).await, POOLED);
+        server.stall_open_connections();
         let mut lost = 0;
         while call(&client, server.address).await.is_err() {
             lost += 1;
-            assert!(lost <= KEPT, "new connections do not work either");
+            assert!(lost <= POOLED, "new connections do not work either");
         }
         assert!(lost <= 1, "{lost} calls in a row had no answer");
     });
 }
 
 #[test]
-fn calls_side_by_side_after_a_time_out_are_all_answered() {
+fn concurrent_calls_after_a_timeout_are_all_answered() {
     run(async {
-        let server = SilentServer::start(KEPT);
+        let server = StallingServer::start(POOLED);
         let client = client();
-        assert_eq!(call_together(&client, server.address, KEPT).await, KEPT);
-        server.silence();
+        assert_eq!(call_together(&client, server.address, POOLED).await, POOLED);
+        server.stall_open_connections();
         assert_eq!(call_together(&client, server.address, 3).await, 0);
         assert_eq!(call_together(&client, server.address, 3).await, 3);
     });
 }
 
 #[test]
-fn a_later_silence_costs_one_time_out_again() {
+fn connections_that_stall_later_cost_one_timeout_again() {
     run(async {
-        let server = SilentServer::start(KEPT);
+        let server = StallingServer::start(POOLED);
         let client = client();
-        assert_eq!(call_together(&client, server.address, KEPT).await, KEPT);
+        assert_eq!(call_together(&client, server.address, POOLED).await, POOLED);
         for _ in 0..3 {
-            server.silence();
+            server.stall_open_connections();
             assert!(call(&client, server.address).await.is_err());
-            assert_eq!(call_together(&client, server.address, KEPT).await, KEPT);
+            assert_eq!(call_together(&client, server.address, POOLED).await, POOLED);
         }
     });
 }
 
 #[test]
-fn a_connection_that_the_system_gives_up_counts_as_a_time_out() {
+fn a_connection_closed_by_the_system_counts_as_a_timeout() {
     run(async {
-        let server = SilentServer::start(KEPT);
+        let server = StallingServer::start(POOLED);
         let client = client_with(Some(ANSWER_TIME / 2));
-        assert_eq!(call_together(&client, server.address, KEPT).await, KEPT);
-        server.silence();
+        assert_eq!(call_together(&client, server.address, POOLED).await, POOLED);
+        server.stall_open_connections();
         let url = format!("http://{}/", server.address);
-        // More than the sockets hold, so that the system sees that nobody reads it.
+        // More than the socket buffers hold: the server reads nothing, so the system closes the connection.
         let body = vec![0; 32 << 20];
         let time = ANSWER_TIME * 100;
         let long = client.send(Method::POST, &url, &[], "text/plain", body, time);
@@ -191,16 +191,16 @@
 }
 
 #[test]
-fn a_calm_address_keeps_its_connection() {
+fn an_address_without_timeouts_keeps_its_connection() {
     run(async {
-        let (server, other) = (SilentServer::start(1), SilentServer::start(1));
+        let (server, other) = (StallingServer::start(1), StallingServer::start(1));
         let client = client();
         for round in 0..100 {
             assert!(call(&client, server.address).await.is_ok());
             assert!(call(&client, other.address).await.is_ok());
             if round == 50 {
-                // What happens to one address is nothing to the others.
-                other.silence();
+                // A timeout at one address does not affect the connections to others.
+                other.stall_open_connections();
                 assert!(call(&client, other.address).await.is_err());
             }
         }
--- a/crates/bankvalve_link/tests/unreached.rs
+++ b/crates/bankvalve_link/tests/unreached.rs
@@ -1,4 +1,4 @@
-//! What a client tells of an address that it does not reach.
+//! Failures that a client reports for an address that it cannot connect to.
 
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::time::Duration;
@@ -7,9 +7,10 @@
 use hyper::Method;
 use socket2::{Domain, Socket, Type};
 
-/// Time in which a connection must be made.
+/// Timeout of a connection attempt.
 const CONNECT_TIME: Duration = Duration::from_millis(200);
 
+/// Sends a request to an address that cannot be reached; returns the failure.
 fn failure_at(address: SocketAddr) -> ClientFailure {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
@@ -29,7 +30,7 @@
 }
 
 #[test]
-fn a_port_where_nothing_listens_refuses() {
+fn a_port_without_a_listener_refuses() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     drop(listener);
@@ -45,7 +46,7 @@
     socket.listen(0).unwrap();
     let listener = TcpListener::from(socket);
     let address = listener.local_addr().unwrap();
-    // Its queue of new connections is full once one does not get in.
+    // Connects until an attempt times out, which shows that the accept queue is full.
     let connect = || TcpStream::connect_timeout(&address, CONNECT_TIME);
     let waiting: Vec<TcpStream> = std::iter::from_fn(|| connect().ok()).collect();
     let failure = failure_at(address);
