--- a/crates/bankvalve/src/entry/core_loop.rs
+++ b/crates/bankvalve/src/entry/core_loop.rs
@@ -15,20 +15,21 @@
 use super::boot_time::BootTime;
 use super::decision_log::DecisionLog;
 
-/// Events that are taken before what they led to is handed on.
-const EVENTS_AT_ONCE: usize = 64;
-/// Time in which events gather for a leader to which many come: each wake-up of this thread wakes
-/// that of the links as well, and they cost a leader of 1,100 workers a tenth of a core.
-const GATHER: Duration = Duration::from_millis(3);
-/// Time between two publications of the view.
-const PUBLISH: Duration = Duration::from_millis(100);
-/// When a caller may come back if the ring is full, in milliseconds.
+/// Maximum number of inputs handled after the first one before the resulting actions go to the `links`
+/// thread.
+const MAX_MORE_INPUTS: usize = 64;
+/// Pause that lets events queue up on a leader that receives many. Each wake-up of this thread also wakes the
+/// `links` thread; without the pause these wake-ups cost a leader of 1,100 workers a tenth of a core.
+const BATCHING_PAUSE: Duration = Duration::from_millis(3);
+/// Interval at which the view is published to other threads.
+const PUBLISH_INTERVAL: Duration = Duration::from_millis(100);
+/// Time after which a caller may retry a request that found the ring full, in milliseconds.
 const RING_RETRY_MS: u64 = 1_000;
 
-/// Something for the core thread.
+/// Input for the core thread.
 pub(super) enum CoreInput {
     Event(CoreEvent),
-    /// The configuration in force denies a caller's request.
+    /// A caller's request that the configuration in force denies.
     RequestDenied {
         asked: String,
         reason: DenialReason,
@@ -42,7 +43,7 @@
     End,
 }
 
-/// What the core thread shares.
+/// State that the core thread shares with the handles.
 #[derive(Debug, Default)]
 struct CoreShared {
     table: RwLock<Option<Arc<QueueTable>>>,
@@ -57,7 +58,7 @@
     shared: Arc<CoreShared>,
 }
 
-/// An input and when it came.
+/// An input and the time at which it was queued.
 pub(super) type RingEntry = (BootTime, CoreInput);
 
 impl std::fmt::Debug for EntryHandle {
@@ -77,28 +78,28 @@
         (handle, receiver)
     }
 
-    fn put(&self, input: CoreInput) -> bool {
+    fn try_enqueue(&self, input: CoreInput) -> bool {
         self.ring.try_send((BootTime::now(), input)).is_ok()
     }
 
-    /// Gives the core an event; returns whether the ring had room.
-    pub fn give(&self, event: CoreEvent) -> bool {
-        let given = self.put(CoreInput::Event(event));
-        if !given {
+    /// Queues an event for the core; returns false and drops it if the ring is full.
+    pub fn enqueue(&self, event: CoreEvent) -> bool {
+        let queued = self.try_enqueue(CoreInput::Event(event));
+        if !queued {
             self.shared.ring_full.fetch_add(1, Ordering::Relaxed);
         }
-        given
+        queued
     }
 
-    /// Gives the core a caller's request and waits for the answer.
-    pub async fn ask(&self, request: ResolvedRequest) -> CallerAnswer {
-        self.ask_core(|reply| CoreInput::Request { request, reply })
+    /// Submits a caller's request to the core and waits for the answer.
+    pub async fn submit_request(&self, request: ResolvedRequest) -> CallerAnswer {
+        self.request_answer(|reply| CoreInput::Request { request, reply })
             .await
     }
 
-    /// Asks the core whether the configuration in force is as new as this question, of a caller
-    /// whose request it denies: host and path, for the log, and why.
-    pub async fn ask_newest(
+    /// Asks the core whether the configuration in force is the newest, for a request that it denies, and
+    /// waits for the answer. `asked` is the request's host and path, for the log.
+    pub async fn query_newest(
         &self,
         asked: String,
         reason: DenialReason,
@@ -110,15 +111,15 @@
             patience_ms,
             reply,
         };
-        self.ask_core(input).await
+        self.request_answer(input).await
     }
 
-    async fn ask_core(
+    async fn request_answer(
         &self,
         input: impl FnOnce(oneshot::Sender<CallerAnswer>) -> CoreInput,
     ) -> CallerAnswer {
         let (reply, answer) = oneshot::channel();
-        if !self.put(input(reply)) {
+        if !self.try_enqueue(input(reply)) {
             self.shared.ring_full.fetch_add(1, Ordering::Relaxed);
             return CallerAnswer::Refused {
                 reason: RefusalReason::Overload,
@@ -128,30 +129,30 @@
         answer.await.unwrap_or(CallerAnswer::Unknown)
     }
 
-    /// The configuration in force, if there is one.
+    /// Returns the configuration in force, or `None` if there is none yet.
     pub fn table(&self) -> Option<Arc<QueueTable>> {
         let table = self.shared.table.read();
         table.unwrap_or_else(|error| error.into_inner()).clone()
     }
 
-    /// What the core last published.
+    /// Returns the view that the core published last.
     pub fn view(&self) -> EntryView {
         let view = self.shared.view.lock();
         view.unwrap_or_else(|error| error.into_inner()).clone()
     }
 
-    /// Events refused because the ring was full.
+    /// Returns how often the core's ring, or its queue to the `links` thread, was full.
     pub fn ring_full(&self) -> u64 {
         self.shared.ring_full.load(Ordering::Relaxed)
     }
 
-    /// Ends the core thread, and with it the links.
+    /// Ends the core thread, which also ends the `links` thread.
     pub(super) fn end(&self) {
         let _ = self.ring.send((BootTime::now(), CoreInput::End));
     }
 }
 
-/// The core thread's own state.
+/// State of the core thread.
 pub(super) struct CoreLoop {
     core: EntryCore,
     port: PlatformPort,
@@ -183,7 +184,7 @@
         }
     }
 
-    /// Runs until the ring is closed.
+    /// Runs until [`CoreInput::End`] arrives or the ring is closed.
     pub(super) fn run(mut self, ring: &Receiver<RingEntry>) {
         let mut next_tick = Instant::now();
         let mut next_publication = Instant::now();
@@ -193,13 +194,13 @@
                 Ok((_, CoreInput::End)) | Err(RecvTimeoutError::Disconnected) => return,
                 Ok((came, input)) => {
                     self.core.note_lag(came.elapsed());
-                    self.take(input);
-                    for (came, input) in ring.try_iter().take(EVENTS_AT_ONCE) {
+                    self.handle_input(input);
+                    for (came, input) in ring.try_iter().take(MAX_MORE_INPUTS) {
                         if matches!(input, CoreInput::End) {
                             return;
                         }
                         self.core.note_lag(came.elapsed());
-                        self.take(input);
+                        self.handle_input(input);
                     }
                 }
                 Err(RecvTimeoutError::Timeout) => self.core.note_lag(Duration::ZERO),
@@ -214,16 +215,16 @@
             }
             self.flush();
             if self.core.prefers_batches() {
-                std::thread::sleep(GATHER);
+                std::thread::sleep(BATCHING_PAUSE);
             }
             if now >= next_publication {
-                next_publication = now + PUBLISH;
+                next_publication = now + PUBLISH_INTERVAL;
                 self.publish();
             }
         }
     }
 
-    fn take(&mut self, input: CoreInput) {
+    fn handle_input(&mut self, input: CoreInput) {
         match input {
             CoreInput::Event(event) => self.step(event),
             CoreInput::RequestDenied {
@@ -252,15 +253,15 @@
 
     fn step(&mut self, event: CoreEvent) {
         let actions = self.core.step(self.started.elapsed(), unix_millis(), event);
-        self.act_all(actions);
+        self.perform_all(actions);
     }
 
-    fn act_all(&mut self, actions: Vec<CoreAction>) {
+    fn perform_all(&mut self, actions: Vec<CoreAction>) {
         for action in actions {
             match action {
                 CoreAction::Answer { ticket, answer } => {
                     if let Some(reply) = self.replies.remove(&ticket) {
-                        // A caller that left takes no answer.
+                        // Fails if the caller has disconnected.
                         let _ = reply.send(answer);
                     }
                 }
@@ -274,12 +275,12 @@
                 CoreAction::DecodeTable(raw) => {
                     if let Some(table) = (self.port.read_table)(&raw) {
                         let actions = self.core.install_table(table, raw);
-                        self.act_all(actions);
+                        self.perform_all(actions);
                     } else {
-                        self.log.give(unix_millis(), unreadable_table(raw.len()));
+                        self.log.enqueue(unix_millis(), unreadable_table(raw.len()));
                     }
                 }
-                CoreAction::Log(line) => self.log.give(unix_millis(), line),
+                CoreAction::Log(line) => self.log.enqueue(unix_millis(), line),
                 action => self.outbox.push(action),
             }
         }
@@ -292,7 +293,7 @@
         let actions = std::mem::take(&mut self.outbox);
         if let Err(mpsc::error::TrySendError::Full(actions)) = self.links.try_send(actions) {
             self.shared.ring_full.fetch_add(1, Ordering::Relaxed);
-            // They are tried again with what comes next.
+            // Sent again together with the next actions.
             self.outbox = actions;
         }
     }
@@ -315,7 +316,7 @@
     }
 }
 
-/// The time of day in milliseconds since 1970.
+/// Returns the time of day in milliseconds since 1970.
 pub(super) fn unix_millis() -> u64 {
     let since = SystemTime::now().duration_since(UNIX_EPOCH);
     since.map_or(0, |since| since.as_millis() as u64)
--- a/crates/bankvalve/src/entry/decision_log.rs
+++ b/crates/bankvalve/src/entry/decision_log.rs
@@ -1,4 +1,4 @@
-//! The log of decisions: one line of JSON each, on standard output.
+//! The decision log: one JSON object per line on standard output.
 
 use std::collections::BTreeMap;
 use std::io::Write;
@@ -13,37 +13,39 @@
 
 use super::core_loop::unix_millis;
 
-/// Lines that may wait for the writer.
-const RING: usize = 4_096;
-/// Lines of one kind that are written in a second.
-const LINES_PER_SECOND: u32 = 400;
-/// Time in which lines gather before they are written: each write wakes a thread and costs a call of
-/// the system. The ring holds some two seconds of a busy leader's lines.
-const GATHER: Duration = Duration::from_millis(40);
-/// Most that is written at once, in bytes: a pipe takes 4,096 unbroken, and a reader may cut what is longer.
-const WRITE_BYTES: usize = 4_000;
-/// Span in which lines of a kind are counted.
-const SPAN: Duration = Duration::from_secs(1);
-/// Longest wait for the writer before the process ends: time for a full ring on a slow machine.
-const FLUSH_TIME: Duration = Duration::from_secs(1);
-
-/// How grave a line is.
+/// Maximum number of lines that wait for the writer thread.
+const RING_LINES: usize = 4_096;
+/// Maximum number of lines of one kind (part and event) written per [`COUNT_PERIOD`].
+const MAX_LINES_PER_PERIOD: u32 = 400;
+/// Pause between two writes, in which lines are collected. Each write costs a wake-up and a system call. The
+/// ring holds about two seconds of a busy leader's lines.
+const WRITE_INTERVAL: Duration = Duration::from_millis(40);
+/// Maximum size of one write, in bytes. Writes of up to 4,096 bytes to a pipe are atomic; a reader may see a
+/// longer one in pieces.
+const MAX_WRITE_BYTES: usize = 4_000;
+/// Period over which lines of one kind are counted.
+const COUNT_PERIOD: Duration = Duration::from_secs(1);
+/// Longest wait for space in the ring, and then for the writer, before the process ends. Enough to write a
+/// full ring on a slow machine.
+const FLUSH_TIMEOUT: Duration = Duration::from_secs(1);
+
+/// Severity of a line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum LineLevel {
-    /// As it should be.
+    /// Normal operation.
     Info,
-    /// Something is tried again or left out.
+    /// Something is retried or left out.
     Warn,
-    /// The process ends for it.
+    /// A failure that ends the process.
     Error,
 }
 
-/// Something for the thread that writes.
+/// Input for the writer thread.
 enum LogItem {
-    /// A line and when it was decided, in milliseconds since 1970.
+    /// A line with the time of its decision, in milliseconds since 1970, and its severity.
     Line(u64, LineLevel, DecisionLine),
-    /// Someone waits until all before it is written.
+    /// A request to be notified when all earlier items have been written.
     Flush(Sender<()>),
 }
 
@@ -59,7 +61,7 @@
     detail: &'a str,
 }
 
-/// Where decisions are handed in; never blocks.
+/// Handle to the decision log. Only [`DecisionLog::flush`] blocks.
 #[derive(Clone, Debug)]
 pub struct DecisionLog {
     ring: Sender<LogItem>,
@@ -67,13 +69,13 @@
 }
 
 impl DecisionLog {
-    /// Starts the thread that writes.
+    /// Starts the writer thread.
     ///
     /// # Errors
     ///
     /// Returns an error if the thread cannot be started.
     pub fn start() -> std::io::Result<(Self, JoinHandle<()>)> {
-        let (ring, lines) = bounded(RING);
+        let (ring, lines) = bounded(RING_LINES);
         let dropped = Arc::new(AtomicU64::new(0));
         let log = Self {
             ring,
@@ -85,24 +87,26 @@
         Ok((log, thread))
     }
 
-    /// Hands a line in that was decided at `time`, in milliseconds since 1970; a full ring drops
-    /// and counts it.
-    pub fn give(&self, time: u64, line: DecisionLine) {
+    /// Queues a line about a decision made at `time`, in milliseconds since 1970. If the ring is full, the
+    /// line is dropped and counted.
+    pub fn enqueue(&self, time: u64, line: DecisionLine) {
         self.send(LogItem::Line(time, LineLevel::Info, line));
     }
 
-    /// Hands a line about the process in, decided now.
+    /// Queues a line about the process, with the present time.
     pub fn note(&self, level: LineLevel, line: DecisionLine) {
         self.send(LogItem::Line(unix_millis(), level, line));
     }
 
-    /// Waits until what was handed in before is written, but not long for a reader that does not
-    /// read; for a process that is about to end.
+    /// Waits until all lines queued so far are written, or a timeout has passed because standard output is
+    /// not being read. Called before the process ends.
     pub fn flush(&self) {
         let (written, wait) = bounded(1);
-        let sent = self.ring.send_timeout(LogItem::Flush(written), FLUSH_TIME);
-        // There is no other place to tell that the reader did not take the last lines.
-        let _ = sent.is_ok() && wait.recv_timeout(FLUSH_TIME).is_ok();
+        let sent = self
+            .ring
+            .send_timeout(LogItem::Flush(written), FLUSH_TIMEOUT);
+        // A failure to write the last lines cannot be reported anywhere else.
+        let _ = sent.is_ok() && wait.recv_timeout(FLUSH_TIMEOUT).is_ok();
     }
 
     fn send(&self, item: LogItem) {
@@ -114,15 +118,15 @@
 
 fn write_all(items: &Receiver<LogItem>, dropped: &AtomicU64) {
     let mut out = std::io::LineWriter::new(std::io::stdout());
-    let mut budget: BTreeMap<(&'static str, &'static str), u32> = BTreeMap::new();
+    let mut line_counts: BTreeMap<(&'static str, &'static str), u32> = BTreeMap::new();
     let mut left_out = 0;
-    let mut span = Instant::now();
+    let mut period_start = Instant::now();
     let mut text = Vec::new();
     while let Ok(first) = items.recv() {
         text.clear();
-        if span.elapsed() >= SPAN {
-            span = Instant::now();
-            budget.clear();
+        if period_start.elapsed() >= COUNT_PERIOD {
+            period_start = Instant::now();
+            line_counts.clear();
             left_out += dropped.swap(0, Ordering::Relaxed);
             if left_out > 0 {
                 push_line(
@@ -143,30 +147,31 @@
                     continue;
                 }
             };
-            let written = budget.entry((line.part, line.event)).or_default();
+            let written = line_counts.entry((line.part, line.event)).or_default();
             *written += 1;
-            if *written > LINES_PER_SECOND {
+            if *written > MAX_LINES_PER_PERIOD {
                 left_out += 1;
                 continue;
             }
             push_line(&mut text, time, level, &line);
         }
-        for lines in line_chunks(&text, WRITE_BYTES) {
-            // Nobody is left to tell if standard output is gone.
+        for lines in line_chunks(&text, MAX_WRITE_BYTES) {
+            // A failure of standard output cannot be reported anywhere else.
             let _ = out.write_all(lines);
         }
         let flushed = !waiting.is_empty();
         for written in waiting {
-            // Who waits may have given up.
+            // Fails if the waiting thread has timed out.
             let _ = written.send(());
         }
         if !flushed {
-            std::thread::sleep(GATHER);
+            std::thread::sleep(WRITE_INTERVAL);
         }
     }
 }
 
-/// Parts of a text of at most so many bytes, each of whole lines; a line that is longer is a part of its own.
+/// Splits a text into chunks of whole lines, of at most `most` bytes each. A longer line is a chunk of its
+/// own.
 ///
 /// # Examples
 ///
--- a/crates/bankvalve/src/entry/entry_listeners.rs
+++ b/crates/bankvalve/src/entry/entry_listeners.rs
@@ -1,4 +1,4 @@
-//! The sockets that an instance listens on.
+//! Binding of the sockets that an instance listens on.
 
 use std::io::ErrorKind;
 use std::net::{SocketAddr, TcpListener};
@@ -13,9 +13,9 @@
 use crate::serve::ServeFailure;
 use crate::settings::{SiteListen, SiteSettings};
 
-/// Pause between two tries to listen: a fifth of the shortest time that a site can set for a stop,
-/// which is also how long is tried.
-const TRY_AGAIN: Duration = Duration::from_millis(100);
+/// Pause between two attempts to listen. Attempts continue for the site's stop time, which is at least five
+/// times as long.
+const RETRY_PAUSE: Duration = Duration::from_millis(100);
 
 /// The sockets that an instance listens on.
 #[derive(Debug)]
@@ -27,18 +27,18 @@
 }
 
 impl EntryListeners {
-    /// Listens on the addresses of the settings. One that is still held is tried again for as
-    /// long as the instance's process of before may take to stop; each try is logged.
+    /// Listens on the addresses of the settings. Retries an address in use for as long as the instance's
+    /// previous process may take to stop, and logs each failed attempt.
     pub(super) fn bind(
         settings: &SiteSettings,
         log: &DecisionLog,
-        told_to_stop: &AtomicBool,
+        stop_requested: &AtomicBool,
     ) -> Result<Self, Report<ServeFailure>> {
         let wait = AddressWait {
             begun: Instant::now(),
             limit: Duration::from_millis(settings.bounds_ms.stop),
             log,
-            told_to_stop,
+            stop_requested,
         };
         let listen = &settings.listen;
         Ok(Self {
@@ -49,7 +49,7 @@
         })
     }
 
-    /// The addresses, with the ports that the system chose where 0 was asked for.
+    /// Returns the addresses, with the ports that the system assigned in place of port 0.
     pub(super) fn addresses(&self) -> Result<SiteListen, Report<ServeFailure>> {
         let of =
             |listener: &TcpListener| listener.local_addr().change_context(ServeFailure::Listen);
@@ -62,12 +62,12 @@
     }
 }
 
-/// A start that waits for addresses.
+/// Retries of one start for addresses in use. The time limit covers all addresses together.
 struct AddressWait<'a> {
     begun: Instant,
     limit: Duration,
     log: &'a DecisionLog,
-    told_to_stop: &'a AtomicBool,
+    stop_requested: &'a AtomicBool,
 }
 
 impl AddressWait<'_> {
@@ -82,7 +82,7 @@
                 Err(error) => error,
             };
             let waited = self.begun.elapsed();
-            let stopped = self.told_to_stop.load(Ordering::Acquire);
+            let stopped = self.stop_requested.load(Ordering::Acquire);
             if stopped || error.kind() != ErrorKind::AddrInUse || waited >= self.limit {
                 let failure = match stopped {
                     true => ServeFailure::Stopped,
@@ -99,7 +99,7 @@
                 detail: format!("listen.{field}: {error}; waited {waited} of {limit} ms"),
             };
             self.log.note(LineLevel::Warn, line);
-            thread::sleep(TRY_AGAIN);
+            thread::sleep(RETRY_PAUSE);
         }
     }
 }
--- a/crates/bankvalve/src/entry/entry_metrics.rs
+++ b/crates/bankvalve/src/entry/entry_metrics.rs
@@ -9,7 +9,8 @@
 
 use super::core_loop::EntryHandle;
 
-/// Bounds of the latency histogram, in milliseconds: from one hop to a caller's usual patience.
+/// Bucket bounds of the latency histogram, in milliseconds: from one network hop to the usual timeout of a
+/// caller.
 const LATENCY_BOUNDS_MS: [f64; 10] = [
     2.0, 5.0, 10.0, 20.0, 50.0, 100.0, 250.0, 500.0, 1_000.0, 3_000.0,
 ];
@@ -52,8 +53,8 @@
         }
     }
 
-    /// Notes an answer to a caller.
-    pub(super) fn note_request(&self, method: &str, status: u16, time: Duration) {
+    /// Records the latency of an answer to a caller.
+    pub(super) fn record_request(&self, method: &str, status: u16, time: Duration) {
         let labels = [
             KeyValue::new("method", method.to_owned()),
             KeyValue::new("status", i64::from(status)),
@@ -61,7 +62,7 @@
         self.latency.record(time.as_secs_f64() * 1_000.0, &labels);
     }
 
-    /// All metrics in the text format that scrapers read.
+    /// Returns all metrics in the Prometheus text format.
     pub fn render(&self) -> String {
         let families = self.registry.gather();
         TextEncoder::new()
@@ -117,7 +118,7 @@
         .build();
 }
 
-/// Ages that are not known are left out.
+/// Registers the ages; an unknown age is not exported.
 fn register_ages(meter: &Meter, core: &EntryHandle) {
     let of_core = core.clone();
     meter
--- a/crates/bankvalve/src/entry/entry_process.rs
+++ b/crates/bankvalve/src/entry/entry_process.rs
@@ -1,4 +1,4 @@
-//! Starts an entry instance's threads and stops them.
+//! Start and stop of an entry instance's threads.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -15,23 +15,24 @@
 use super::decision_log::{DecisionLog, LineLevel};
 use super::entry_listeners::EntryListeners;
 use super::entry_metrics::EntryMetrics;
-use super::link_loop::{carry_all, LinkPlan};
+use super::link_loop::{run_links, LinkAddresses};
 use super::listeners::ListenerState;
 use crate::serve::ServeFailure;
 use crate::settings::{SiteListen, SiteSettings};
 
-/// Policy that is switched off: none, but in a scratch copy that measures what one is worth.
-const POLICY_OFF: Option<PolicySwitch> = None;
+/// Policy that is switched off. `None` except in experiments that compare an instance with and without a
+/// policy.
+const DISABLED_POLICY: Option<PolicySwitch> = None;
 
-/// Time for which callers are still taken after a stop began: the platform asks each second
-/// whether the instance is ready, and twice before it sends callers elsewhere.
-const BALANCER_TIME: Duration = Duration::from_millis(2_300);
-/// Time between two looks at whether all callers have their answers.
-const LOOK: Duration = Duration::from_millis(20);
-/// Time for last bytes to leave.
-const LAST_BYTES: Duration = Duration::from_millis(60);
-/// Connections of peers at once: three of each on a site of some 400 instances.
-const PEER_CONNECTIONS: usize = 1_200;
+/// Minimum time for which callers are still served after a stop begins. The platform checks readiness every
+/// second and sends callers elsewhere only after two such checks.
+const BALANCER_DELAY: Duration = Duration::from_millis(2_300);
+/// Interval at which a stop checks whether all callers have their answers and leadership is handed over.
+const STOP_CHECK_INTERVAL: Duration = Duration::from_millis(20);
+/// Time in which the last answers are sent before the process ends.
+const SEND_GRACE: Duration = Duration::from_millis(60);
+/// Maximum number of simultaneous connections from peers: three from each on a site of about 400 instances.
+const MAX_PEER_CONNECTIONS: usize = 1_200;
 
 /// A running entry instance.
 #[derive(Debug)]
@@ -43,8 +44,8 @@
 }
 
 impl EntryProcess {
-    /// Starts an instance and logs where it listens. An address that is still held is waited
-    /// for, until the time for a stop is over or `told_to_stop` is set.
+    /// Starts an instance and logs where it listens. Retries an address in use until the configured stop
+    /// time has passed or `stop_requested` is set.
     ///
     /// # Errors
     ///
@@ -53,9 +54,9 @@
         settings: &SiteSettings,
         port: PlatformPort,
         log: &DecisionLog,
-        told_to_stop: &AtomicBool,
+        stop_requested: &AtomicBool,
     ) -> Result<Self, Report<ServeFailure>> {
-        let listeners = EntryListeners::bind(settings, log, told_to_stop)?;
+        let listeners = EntryListeners::bind(settings, log, stop_requested)?;
         let listen = listeners.addresses()?;
         let ring = settings.limits.ring as usize;
         let (core, inputs) = EntryHandle::new(ring);
@@ -70,7 +71,7 @@
             in_flight: Arc::new(AtomicU64::new(0)),
         };
         let servers = start_servers(settings, listeners, &state)?;
-        let plan = LinkPlan {
+        let link_addresses = LinkAddresses {
             own: listen.peers,
             table: settings.platform.table,
             policy: settings.platform.policy,
@@ -80,7 +81,7 @@
             .build()
             .change_context(ServeFailure::Thread)?;
         spawn("links", move || {
-            runtime.block_on(carry_all(plan, port, core, actions));
+            runtime.block_on(run_links(link_addresses, port, core, actions));
         })?;
         spawn("core", move || core_loop.run(&inputs))?;
         log.note(LineLevel::Info, started_line(&settings.site.name, &listen));
@@ -92,40 +93,41 @@
         })
     }
 
-    /// Where it listens.
+    /// Returns the addresses that the instance listens on.
     pub fn listen(&self) -> &SiteListen {
         &self.listen
     }
 
-    /// Whether it may be given callers.
+    /// Returns whether the instance is ready to serve callers.
     pub fn is_ready(&self) -> bool {
         self.state.core.view().ready
     }
 
-    /// Takes changed settings that need no new start: the log level.
+    /// Applies the changed settings that need no restart: the log level.
     pub fn reload(&self, settings: &SiteSettings) {
         if let Ok(level) = settings.log_level() {
             crate::logging::set_level(level);
         }
-        log::info!("settings: read again");
+        log::info!("settings: reloaded");
     }
 
-    /// Stops as planned: the platform is told, callers get their answers, a peer leads.
+    /// Stops the instance: reports it as not ready, waits until the open requests are answered and leadership
+    /// is handed over to a peer, and ends the threads. Waits no longer than the configured stop time.
     pub fn stop(&self) {
         let begun = Instant::now();
         self.state.stopping.store(true, Ordering::Release);
-        self.state.core.give(CoreEvent::Stop);
+        self.state.core.enqueue(CoreEvent::Stop);
         loop {
-            thread::sleep(LOOK);
+            thread::sleep(STOP_CHECK_INTERVAL);
             let idle = self.state.in_flight.load(Ordering::Acquire) == 0;
             let handed_over = self.state.core.view().stopped;
             let waited = begun.elapsed();
-            if (waited >= BALANCER_TIME && idle && handed_over) || waited >= self.stop_time {
+            if (waited >= BALANCER_DELAY && idle && handed_over) || waited >= self.stop_time {
                 break;
             }
         }
         self.state.core.end();
-        thread::sleep(LAST_BYTES);
+        thread::sleep(SEND_GRACE);
     }
 }
 
@@ -156,7 +158,7 @@
         row_bytes: settings.limits.row_bytes as usize,
         key_age_limit: settings.keys.age_limit(),
         broken: None,
-        without: POLICY_OFF,
+        without: DISABLED_POLICY,
     }
 }
 
@@ -171,7 +173,7 @@
         ..ServerLimits::default()
     };
     let peer_limits = ServerLimits {
-        connections: PEER_CONNECTIONS,
+        connections: MAX_PEER_CONNECTIONS,
         body_bytes: 64 << 20,
         ..ServerLimits::default()
     };
--- a/crates/bankvalve/src/entry/link_loop.rs
+++ b/crates/bankvalve/src/entry/link_loop.rs
@@ -1,4 +1,4 @@
-//! The thread that carries what the core asks for.
+//! The `links` thread, which performs the core's requests to other processes.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -19,79 +19,83 @@
 
 use super::core_loop::EntryHandle;
 
-/// Path of peers' messages.
+/// Path to which peers send message batches.
 pub(super) const PEER_PATH: &str = "/messages";
-/// Messages that wait for one peer at most; more are dropped, and whoever needs an answer asks again.
-const PEER_QUEUE: usize = 2_000;
-/// Longest pause in an answer about the configuration, which may be large, until it is given up.
+/// Maximum number of messages that wait for one peer. Further ones are dropped; a sender that needs an answer
+/// sends its request again.
+const MAX_QUEUED_MESSAGES: usize = 2_000;
+/// Longest pause within an answer to a configuration query, which may be large, before it counts as lost.
 const ANSWER_PAUSE: Duration = Duration::from_millis(1_000);
-/// Size of an answer from which on the core is told that it has begun, in bytes: it takes a thin
-/// link some 30 ms.
-const LONG_ANSWER: u64 = 32 * 1024;
-/// Time between two batches to one peer of calls to workers and of what hubs pass on. An exchange
-/// with a peer costs a leader some 0.1 ms with its wake-ups, however much it carries; at 700 calls a
-/// second a batch takes 15 of them along, and each waits some 12 ms.
-const CARRY_PACE: Duration = Duration::from_millis(25);
-/// The same where nothing but looks waits, or answers that tell of no end.
-const LAZY_PACE: Duration = Duration::from_millis(80);
-/// Time in which a connection must be made: some ten ways across the site.
-const CONNECT_TIME: Duration = Duration::from_millis(400);
-/// Time for which sent bytes may stay unacknowledged before a connection is given up.
-const SILENCE: Duration = Duration::from_millis(1_500);
-/// Time after which an idle connection is closed; new ones to workers are dear.
-const IDLE_TIME: Duration = Duration::from_secs(90);
-/// Largest reply: a page of rows.
-const REPLY_BYTES: usize = 8 * 1024 * 1024;
+/// Size of an answer, in bytes, from which the core is notified when the answer begins. A slow link takes
+/// about 30 ms for it.
+const LONG_ANSWER_BYTES: u64 = 32 * 1024;
+/// Interval between two batches to one peer of proxied worker calls and of messages relayed by hubs. An
+/// exchange with a peer costs a leader about 0.1 ms with its wake-ups, regardless of its size. At 700 calls
+/// a second, a batch holds 15 of them, and each waits about 12 ms.
+const CALL_BATCH_INTERVAL: Duration = Duration::from_millis(25);
+/// Interval between two batches to one peer if only polls wait, or answers that report no ended run.
+const POLL_BATCH_INTERVAL: Duration = Duration::from_millis(80);
+/// Timeout for establishing a connection: about ten one-way trips across the site.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
+/// Time for which sent bytes may stay unacknowledged before the connection is closed.
+const ACK_TIMEOUT: Duration = Duration::from_millis(1_500);
+/// Time after which an idle connection is closed. It is long because new connections to workers are
+/// expensive.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(90);
+/// Maximum size of a reply, in bytes. The largest replies are pages of rows.
+const MAX_REPLY_BYTES: usize = 8 * 1024 * 1024;
 
-/// Where the platform's services are.
+/// This instance's address for peers, and the addresses of the platform's services.
 #[derive(Clone, Debug)]
-pub(super) struct LinkPlan {
+pub(super) struct LinkAddresses {
     pub(super) own: PeerAddress,
     pub(super) table: SocketAddr,
     pub(super) policy: Option<SocketAddr>,
 }
 
-/// Messages that wait for a peer.
+/// Messages that wait for one peer, and its batches in flight.
 #[derive(Default)]
-struct PeerLane {
+struct PeerOutbox {
     queue: Vec<PeerMessage>,
-    flights: usize,
-    /// When the last batch left.
+    in_flight: usize,
+    /// When the last batch was sent.
     sent_at: Option<Instant>,
-    /// When the next one leaves, if a timer is set for it.
+    /// When the next batch is due, if a timer is set for it.
     timer: Option<Instant>,
 }
 
-/// How long a message may wait for others to travel with.
-fn wait_of(message: &PeerMessage) -> Duration {
+/// Returns how long after the previous batch a message may wait, so that more messages share its batch.
+fn batching_delay(message: &PeerMessage) -> Duration {
     match message {
         PeerMessage::Carry { call, .. } if matches!(call.order, ProxiedOrder::Hold { .. }) => {
-            LAZY_PACE
+            POLL_BATCH_INTERVAL
         }
-        PeerMessage::Carried { answer, .. } if tells_of_no_end(answer) => LAZY_PACE,
+        PeerMessage::Carried { answer, .. } if reports_no_end(answer) => POLL_BATCH_INTERVAL,
         PeerMessage::Carry { .. } | PeerMessage::Carried { .. } | PeerMessage::Relay { .. } => {
-            CARRY_PACE
+            CALL_BATCH_INTERVAL
         }
         _ => Duration::ZERO,
     }
 }
 
-/// Tells whether an answer is a worker's lists without an end.
-fn tells_of_no_end(answer: &WorkerAnswer) -> bool {
+/// Returns whether an answer is a worker's run lists without any ended run.
+fn reports_no_end(answer: &WorkerAnswer) -> bool {
     matches!(answer, WorkerAnswer::Done { report: Some(report), .. } if report.ended.is_empty())
 }
 
-impl PeerLane {
-    /// Time until the next batch may leave: calls to workers are many, and travel together.
+impl PeerOutbox {
+    /// Returns the time until the next batch may be sent, or `None` if it may be sent now. Worker calls are
+    /// frequent, so they are sent in batches.
     fn pause(&self) -> Option<Duration> {
         let sent_at = self.sent_at?;
-        let wait = self.queue.iter().map(wait_of).min()?;
+        let wait = self.queue.iter().map(batching_delay).min()?;
         let pause = wait.saturating_sub(sent_at.elapsed());
         (!pause.is_zero()).then_some(pause)
     }
 
-    /// Takes what travels together: all that waits, but a configuration by itself, since it takes a
-    /// thin link a second and the others should not wait for it.
+    /// Removes and returns the messages of the next batch: all waiting ones up to a configuration. A
+    /// configuration forms a batch of its own, since a slow link takes a second for it, which would delay the
+    /// other messages.
     fn take_batch(&mut self) -> Vec<PeerMessage> {
         let large = |message: &PeerMessage| matches!(message, PeerMessage::Table { .. });
         match self.queue.iter().position(large) {
@@ -102,7 +106,7 @@
     }
 }
 
-fn is_about_tables(request: &StoreRequest) -> bool {
+fn is_config_request(request: &StoreRequest) -> bool {
     matches!(
         request,
         StoreRequest::ReadOperator | StoreRequest::WatchOperator { .. }
@@ -110,51 +114,51 @@
 }
 
 struct LinkLoop {
-    plan: LinkPlan,
+    addresses: LinkAddresses,
     port: PlatformPort,
     core: EntryHandle,
     client: HttpClient,
-    lanes: RefCell<BTreeMap<PeerAddress, PeerLane>>,
-    patience: Cell<BatchTimeout>,
+    outboxes: RefCell<BTreeMap<PeerAddress, PeerOutbox>>,
+    batch_timeout: Cell<BatchTimeout>,
 }
 
-/// Carries actions until the core's end of the ring is closed.
-pub(super) async fn carry_all(
-    plan: LinkPlan,
+/// Performs the core's actions until the core drops its end of the channel.
+pub(super) async fn run_links(
+    addresses: LinkAddresses,
     port: PlatformPort,
     core: EntryHandle,
     mut actions: mpsc::Receiver<Vec<CoreAction>>,
 ) {
     let client = HttpClient::with_limits(ClientLimits {
         idle: POOLED_CONNECTIONS,
-        idle_time: IDLE_TIME,
-        connect_time: CONNECT_TIME,
-        silence: Some(SILENCE),
-        reply_bytes: REPLY_BYTES,
+        idle_time: IDLE_TIMEOUT,
+        connect_time: CONNECT_TIMEOUT,
+        silence: Some(ACK_TIMEOUT),
+        reply_bytes: MAX_REPLY_BYTES,
     });
     let links = Rc::new(LinkLoop {
-        plan,
+        addresses,
         port,
         core,
         client,
-        lanes: RefCell::new(BTreeMap::new()),
-        patience: Cell::new(BatchTimeout::default()),
+        outboxes: RefCell::new(BTreeMap::new()),
+        batch_timeout: Cell::new(BatchTimeout::default()),
     });
     let local = tokio::task::LocalSet::new();
     local
         .run_until(async move {
             while let Some(batch) = actions.recv().await {
                 for action in batch {
-                    links.clone().carry(action);
+                    links.clone().perform(action);
                 }
-                links.clone().send_lanes();
+                links.clone().send_outboxes();
             }
         })
         .await;
 }
 
 impl LinkLoop {
-    fn carry(self: Rc<Self>, action: CoreAction) {
+    fn perform(self: Rc<Self>, action: CoreAction) {
         match action {
             CoreAction::Store {
                 ticket,
@@ -163,13 +167,13 @@
             } => {
                 tokio::task::spawn_local(async move {
                     let call = (self.port.store_call)(&request);
-                    let reply = if is_about_tables(&request) {
-                        self.call_long(ticket, call, time).await
+                    let reply = if is_config_request(&request) {
+                        self.query_configuration(ticket, call, time).await
                     } else {
-                        self.call(self.plan.table, call, time).await
+                        self.call(self.addresses.table, call, time).await
                     };
                     let outcome = (self.port.store_outcome)(&request, &reply);
-                    self.core.give(CoreEvent::Store { ticket, outcome });
+                    self.core.enqueue(CoreEvent::Store { ticket, outcome });
                 });
             }
             CoreAction::Worker {
@@ -184,20 +188,21 @@
                     let wire = (self.port.worker_call)(&worker, token, &call);
                     let answer = match &call {
                         WorkerCall::Hold { connection, .. } => {
-                            let (reply, on) = self.look(address, wire, (*connection, time)).await;
-                            answer_on((self.port.worker_answer)(&call, &reply), on)
+                            let (reply, on) =
+                                self.poll_worker(address, wire, (*connection, time)).await;
+                            with_connection((self.port.worker_answer)(&call, &reply), on)
                         }
                         _ => {
                             let reply = self.call(address, wire, time).await;
                             (self.port.worker_answer)(&call, &reply)
                         }
                     };
-                    self.core.give(CoreEvent::Worker { ticket, answer });
+                    self.core.enqueue(CoreEvent::Worker { ticket, answer });
                 });
             }
             CoreAction::Advice { ticket, ask } => {
                 tokio::task::spawn_local(async move {
-                    let answer = match self.plan.policy {
+                    let answer = match self.addresses.policy {
                         None => AdviceAnswer::NoReply,
                         Some(policy) => {
                             let call = (self.port.advice_call)(&ask);
@@ -205,14 +210,14 @@
                             (self.port.advice_answer)(&reply)
                         }
                     };
-                    self.core.give(CoreEvent::Advice { ticket, answer });
+                    self.core.enqueue(CoreEvent::Advice { ticket, answer });
                 });
             }
             CoreAction::Peer { to, message } => {
-                let mut lanes = self.lanes.borrow_mut();
-                let lane = lanes.entry(to).or_default();
-                if lane.queue.len() < PEER_QUEUE {
-                    lane.queue.push(message);
+                let mut outboxes = self.outboxes.borrow_mut();
+                let outbox = outboxes.entry(to).or_default();
+                if outbox.queue.len() < MAX_QUEUED_MESSAGES {
+                    outbox.queue.push(message);
                 }
             }
             CoreAction::Answer { .. }
@@ -222,22 +227,23 @@
         }
     }
 
-    /// Sends what waits for peers that have room for one more request.
-    fn send_lanes(self: Rc<Self>) {
-        let mut lanes = self.lanes.borrow_mut();
-        for (peer, lane) in lanes.iter_mut() {
-            while !lane.queue.is_empty() && lane.flights < PEER_BATCHES_IN_FLIGHT {
-                if let Some(pause) = lane.pause() {
+    /// Sends the waiting messages to all peers that are due and have fewer batches in flight than the
+    /// maximum.
+    fn send_outboxes(self: Rc<Self>) {
+        let mut outboxes = self.outboxes.borrow_mut();
+        for (peer, outbox) in outboxes.iter_mut() {
+            while !outbox.queue.is_empty() && outbox.in_flight < PEER_BATCHES_IN_FLIGHT {
+                if let Some(pause) = outbox.pause() {
                     let due = Instant::now() + pause;
-                    if lane.timer.is_none_or(|timer| due < timer) {
-                        lane.timer = Some(due);
+                    if outbox.timer.is_none_or(|timer| due < timer) {
+                        outbox.timer = Some(due);
                         tokio::task::spawn_local(self.clone().send_after(*peer, pause));
                     }
                     break;
                 }
-                lane.sent_at = Some(Instant::now());
-                lane.flights += 1;
-                let messages = lane.take_batch();
+                outbox.sent_at = Some(Instant::now());
+                outbox.in_flight += 1;
+                let messages = outbox.take_batch();
                 let links = self.clone();
                 let peer = *peer;
                 tokio::task::spawn_local(async move { links.send_batch(peer, messages).await });
@@ -245,18 +251,18 @@
         }
     }
 
-    /// Sends what waits for a peer after a pause.
+    /// Clears a peer's timer after a pause and sends the messages that are due.
     async fn send_after(self: Rc<Self>, peer: PeerAddress, pause: Duration) {
         tokio::time::sleep(pause).await;
-        if let Some(lane) = self.lanes.borrow_mut().get_mut(&peer) {
-            lane.timer = None;
+        if let Some(outbox) = self.outboxes.borrow_mut().get_mut(&peer) {
+            outbox.timer = None;
         }
-        self.send_lanes();
+        self.send_outboxes();
     }
 
     async fn send_batch(self: Rc<Self>, peer: PeerAddress, messages: Vec<PeerMessage>) {
         let batch = PeerBatch {
-            from: self.plan.own,
+            from: self.addresses.own,
             messages,
         };
         let call = WireCall {
@@ -266,34 +272,41 @@
             content_type: WIRE_TYPE,
             body: encode_message(&batch),
         };
-        let time = self.patience.get().time(call.body.len());
+        let time = self.batch_timeout.get().time(call.body.len());
         let sent_at = Instant::now();
         let sent = self.exchange(peer, call, time).await;
-        // One that no connection was made to in time may be cut off, and live.
+        // Only a refused connection shows that the process has ended. After a timeout the peer may be alive
+        // but cut off.
         let refused = matches!(sent, Err(ClientFailure::Refused(_)));
         let reached = sent.is_ok_and(|reply| reply.status == 200);
-        let mut patience = self.patience.get();
+        let mut batch_timeout = self.batch_timeout.get();
         if reached {
-            patience.note_taken(sent_at.elapsed());
+            batch_timeout.note_taken(sent_at.elapsed());
         } else if !refused {
-            patience.note_missed(peer);
+            batch_timeout.note_missed(peer);
         }
-        self.patience.set(patience);
+        self.batch_timeout.set(batch_timeout);
         if !reached {
-            self.core.give(CoreEvent::PeerUnreached { peer, refused });
+            self.core
+                .enqueue(CoreEvent::PeerUnreached { peer, refused });
         }
-        if let Some(lane) = self.lanes.borrow_mut().get_mut(&peer) {
-            lane.flights -= 1;
+        if let Some(outbox) = self.outboxes.borrow_mut().get_mut(&peer) {
+            outbox.in_flight -= 1;
         }
-        self.send_lanes();
+        self.send_outboxes();
     }
 
-    /// Asks the table about the configuration, and tells the core when a long answer begins.
-    async fn call_long(&self, ticket: Ticket, call: WireCall, time: Duration) -> WireReply {
-        let url = format!("http://{}{}", self.plan.table, call.path);
+    /// Sends a configuration query to the table, and notifies the core when a long answer begins.
+    async fn query_configuration(
+        &self,
+        ticket: Ticket,
+        call: WireCall,
+        time: Duration,
+    ) -> WireReply {
+        let url = format!("http://{}{}", self.addresses.table, call.path);
         let begins = |bytes: Option<u64>| {
-            if bytes.is_none_or(|bytes| bytes >= LONG_ANSWER) {
-                self.core.give(CoreEvent::StoreBegins { ticket });
+            if bytes.is_none_or(|bytes| bytes >= LONG_ANSWER_BYTES) {
+                self.core.enqueue(CoreEvent::StoreBegins { ticket });
             }
         };
         let times = (time, ANSWER_PAUSE);
@@ -304,8 +317,8 @@
         reply_of(sent)
     }
 
-    /// Looks at a worker on the connection that is held to it; returns the reply and its connection.
-    async fn look(
+    /// Polls a worker on the connection kept open for its polls. Returns the reply and the connection used.
+    async fn poll_worker(
         &self,
         address: impl std::fmt::Display,
         call: WireCall,
@@ -360,8 +373,8 @@
     }
 }
 
-/// The answer to a look with the connection on which it came.
-fn answer_on(mut answer: WorkerAnswer, connection: Option<ConnectionId>) -> WorkerAnswer {
+/// Returns the answer to a poll with the connection on which it arrived.
+fn with_connection(mut answer: WorkerAnswer, connection: Option<ConnectionId>) -> WorkerAnswer {
     if let WorkerAnswer::Done {
         report: Some(report),
         ..
--- a/crates/bankvalve/src/entry/listeners.rs
+++ b/crates/bankvalve/src/entry/listeners.rs
@@ -1,4 +1,4 @@
-//! What the listening threads do with requests.
+//! Request handlers of the listening threads.
 
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::Arc;
@@ -14,13 +14,13 @@
 use super::entry_metrics::EntryMetrics;
 use super::link_loop::PEER_PATH;
 
-/// When a caller may come back while there is no configuration yet, in milliseconds.
+/// Time after which a caller may retry while there is no configuration yet, in milliseconds.
 const NO_TABLE_RETRY_MS: u64 = 1_000;
 
-/// Most of a host and a path that goes into the log, in characters.
-const ASKED_CHARS: usize = 160;
+/// Maximum length of a request's host and path in the log, in characters.
+const MAX_REQUEST_TEXT_CHARS: usize = 160;
 
-/// What all listeners share.
+/// State that all listeners share.
 #[derive(Clone, Debug)]
 pub(super) struct ListenerState {
     pub(super) core: EntryHandle,
@@ -30,31 +30,31 @@
     pub(super) in_flight: Arc<AtomicU64>,
 }
 
-/// A caller's request that counts as open until it is answered, or dropped with the connection of a
-/// caller that has left.
-struct OpenRequest(Arc<AtomicU64>);
+/// Guard that counts a caller's request as in flight until it is dropped: once the request is answered, or
+/// when the caller disconnects.
+struct InFlightGuard(Arc<AtomicU64>);
 
-impl OpenRequest {
+impl InFlightGuard {
     fn count(open: &Arc<AtomicU64>) -> Self {
         open.fetch_add(1, Ordering::AcqRel);
         Self(open.clone())
     }
 }
 
-impl Drop for OpenRequest {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Ordering::AcqRel);
     }
 }
 
 impl ListenerState {
-    /// Answers a caller.
+    /// Answers a caller's request and records its latency.
     pub(super) async fn serve_caller(self, request: HttpRequest) -> HttpAnswer {
-        let _counted = OpenRequest::count(&self.in_flight);
+        let _counted = InFlightGuard::count(&self.in_flight);
         let begun = Instant::now();
         let answer = self.decide(&request).await;
         self.metrics
-            .note_request(request.method.as_str(), answer.status, begun.elapsed());
+            .record_request(request.method.as_str(), answer.status, begun.elapsed());
         HttpAnswer {
             close: self.stopping.load(Ordering::Acquire),
             ..HttpAnswer {
@@ -78,16 +78,16 @@
             headers: &headers,
             body: &request.body,
         };
-        match self.read_wire(&wire).await {
-            Ok(resolved) => (self.port.write_answer)(&self.core.ask(resolved).await),
+        match self.resolve(&wire).await {
+            Ok(resolved) => (self.port.write_answer)(&self.core.submit_request(resolved).await),
             Err(answer) => answer,
         }
     }
 
-    /// Reads a request. That its queue or its key is not there is said only once it is known that no
-    /// newer configuration has it.
-    async fn read_wire(&self, wire: &WireRequest<'_>) -> Result<ResolvedRequest, WireAnswer> {
-        let first = self.read_now(wire);
+    /// Resolves a request by the configuration in force. A denial (unknown queue or key) is returned only
+    /// once that configuration is known to be the newest.
+    async fn resolve(&self, wire: &WireRequest<'_>) -> Result<ResolvedRequest, WireAnswer> {
+        let first = self.resolve_in_force(wire);
         let Err(RequestFault::Denied {
             reason,
             patience_ms,
@@ -96,9 +96,9 @@
         else {
             return first.map_err(RequestFault::into_answer);
         };
-        let asked = asked_text(wire);
-        let newest = self.core.ask_newest(asked, reason, patience_ms).await;
-        match self.read_now(wire) {
+        let asked = request_text(wire);
+        let newest = self.core.query_newest(asked, reason, patience_ms).await;
+        match self.resolve_in_force(wire) {
             Err(RequestFault::Denied { .. }) if newest != CallerAnswer::TableIsNewest => {
                 Err((self.port.write_answer)(&newest))
             }
@@ -106,8 +106,8 @@
         }
     }
 
-    /// Reads a request by the configuration in force.
-    fn read_now(&self, wire: &WireRequest<'_>) -> Result<ResolvedRequest, RequestFault> {
+    /// Resolves a request by the present configuration, or refuses it if there is none yet.
+    fn resolve_in_force(&self, wire: &WireRequest<'_>) -> Result<ResolvedRequest, RequestFault> {
         let Some(table) = self.core.table() else {
             return Err(RequestFault::Refused(WireAnswer {
                 status: 503,
@@ -119,7 +119,7 @@
         (self.port.read_request)(wire, &table)
     }
 
-    /// Takes a peer's messages.
+    /// Passes a peer's messages to the core.
     pub(super) fn serve_peer(&self, request: &HttpRequest) -> HttpAnswer {
         if request.path != PEER_PATH {
             return HttpAnswer::empty(404);
@@ -129,14 +129,14 @@
         };
         let from = batch.from;
         for message in batch.messages {
-            if !self.core.give(CoreEvent::Peer { from, message }) {
+            if !self.core.enqueue(CoreEvent::Peer { from, message }) {
                 return HttpAnswer::empty(503);
             }
         }
         HttpAnswer::empty(200)
     }
 
-    /// Tells the platform whether the instance may be given callers.
+    /// Answers the platform's readiness check: 200 if the instance may receive callers, else 503.
     pub(super) fn serve_readiness(&self, request: &HttpRequest) -> HttpAnswer {
         if request.path != self.port.ready_path {
             return HttpAnswer::empty(404);
@@ -145,14 +145,14 @@
         HttpAnswer::empty(if ready { 200 } else { 503 })
     }
 
-    /// Shows the metrics.
+    /// Returns the metrics.
     pub(super) fn serve_metrics(&self) -> HttpAnswer {
         HttpAnswer::new(200, "text/plain; version=0.0.4", self.metrics.render())
     }
 }
 
-/// Host and path of a request, for the log.
-fn asked_text(wire: &WireRequest<'_>) -> String {
+/// Returns the host and path of a request, shortened for the log.
+fn request_text(wire: &WireRequest<'_>) -> String {
     let asked = wire.host.chars().chain(wire.path.chars());
-    asked.take(ASKED_CHARS).collect()
+    asked.take(MAX_REQUEST_TEXT_CHARS).collect()
 }
--- a/crates/bankvalve/src/entry/mod.rs
+++ b/crates/bankvalve/src/entry/mod.rs
@@ -1,9 +1,9 @@
-//! An entry instance on the users' platform, as threads joined by bounded rings.
+//! An entry instance on the users' platform: threads connected by bounded queues.
 //!
 //! The `core` thread makes all decisions of [`bankvalve_queue::EntryCore`].
-//! The `links` thread carries what it asks for to the table, the policy
-//! service, the workers and the peers. The `callers`, `peers`, `readiness`
-//! and `metrics` threads listen; the `decisions` thread writes the log.
+//! The `links` thread sends its requests to the table, the policy service,
+//! the workers and the peers. The `callers`, `peers`, `readiness` and
+//! `metrics` threads serve HTTP. The `decisions` thread writes the log.
 
 mod boot_time;
 mod core_loop;
