--- a/crates/bankvalve/tests/site/dev.rs
+++ b/crates/bankvalve/tests/site/dev.rs
@@ -1,4 +1,4 @@
-//! The small site of `dev --site`, as a person uses it.
+//! A small site started with `dev --site`, as a user runs it.
 
 use std::io::{BufRead, BufReader};
 use std::process::{Command, Stdio};
@@ -10,7 +10,7 @@
 use crate::test_site::{exchange, program, wait_until};
 
 #[test]
-fn a_small_site_takes_a_job_and_ends_when_told() {
+fn a_small_site_runs_a_job_and_exits_cleanly_on_sigterm() {
     let mut child = Command::new(program())
         .args(["dev", "--site", "--entries=2", "--workers=2"])
         .stdout(Stdio::null())
--- a/crates/bankvalve/tests/site/entry_child.rs
+++ b/crates/bankvalve/tests/site/entry_child.rs
@@ -1,4 +1,4 @@
-//! A `serve` process, and where it says that it listens.
+//! A `serve` process under test, its log and its addresses.
 
 use std::io::{BufRead, BufReader};
 use std::net::{Ipv4Addr, SocketAddr, TcpStream};
@@ -24,8 +24,8 @@
 }
 
 impl ListenPlan {
-    /// Ports that the system chooses. The loopback address is the instance's own, so that no other
-    /// test has its ports by the time when it is started anew.
+    /// Returns addresses with ports assigned by the system. Each instance gets its own loopback address, so
+    /// no other test can take its ports before it restarts.
     pub(crate) fn any() -> Self {
         static NEXT: AtomicU16 = AtomicU16::new(1);
         let [high, low] = NEXT.fetch_add(1, Ordering::Relaxed).to_be_bytes();
@@ -39,7 +39,7 @@
         }
     }
 
-    /// Reads the line that an instance logs when it has started.
+    /// Parses the addresses from the line that an instance logs when it has started.
     fn of_line(line: &Value) -> Option<Self> {
         let detail = line["detail"].as_str()?;
         let of = |field: &str| {
@@ -56,7 +56,7 @@
     }
 }
 
-/// A `serve` process.
+/// A running `serve` process; killed on drop.
 pub(crate) struct EntryChild {
     child: Child,
     log: Arc<Mutex<Vec<Value>>>,
@@ -67,14 +67,14 @@
 
 impl Drop for EntryChild {
     fn drop(&mut self) {
-        // It may have ended already.
+        // Fails if the process has ended already.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 }
 
 impl EntryChild {
-    /// Starts an instance, and threads that read its log and its errors.
+    /// Starts an instance, and threads that read its log and its standard error.
     pub(crate) fn start(settings: &Path) -> Self {
         let mut child = Command::new(program())
             .arg("serve")
@@ -84,19 +84,19 @@
             .spawn()
             .expect("an instance starts");
         let log = Arc::new(Mutex::new(Vec::new()));
-        let kept = log.clone();
+        let collected = log.clone();
         let lines = BufReader::new(child.stdout.take().expect("its log")).lines();
         let log_reader = thread::spawn(move || {
             for line in lines.map_while(Result::ok) {
                 let line = serde_json::from_str(&line).expect("a line of JSON");
-                kept.lock().expect("the lines").push(line);
+                collected.lock().expect("the lines").push(line);
             }
         });
         let lines = BufReader::new(child.stderr.take().expect("its errors")).lines();
         let error_reader = thread::spawn(move || {
             let lines = lines.map_while(Result::ok);
             lines.fold(String::new(), |text, line| {
-                // Shown with a test that fails.
+                // The test harness prints this if the test fails.
                 eprintln!("{line}");
                 text + &line + "\n"
             })
@@ -110,30 +110,30 @@
         }
     }
 
-    /// Where the instance listens, once it has said so.
+    /// Waits until the instance has logged its addresses and returns them.
     pub(crate) fn plan(&self) -> &ListenPlan {
         self.plan.get_or_init(|| {
             wait_until("an instance says where it listens", || {
-                let told = self.told_plan().is_some();
-                if !told {
+                let is_logged = self.logged_plan().is_some();
+                if !is_logged {
                     self.assert_runs();
                 }
-                told
+                is_logged
             });
-            self.told_plan().expect("its addresses")
+            self.logged_plan().expect("its addresses")
         })
     }
 
-    /// Waits until the instance listens or has ended, and tells whether it listens.
+    /// Waits until the instance listens or has ended, and returns whether it listens.
     pub(crate) fn listens(self) -> bool {
         wait_until("an instance listens or has ended", || {
-            self.told_plan().is_some() || self.log_is_over()
+            self.logged_plan().is_some() || self.log_has_ended()
         });
-        let plan = self.told_plan();
+        let plan = self.logged_plan();
         plan.is_some_and(|plan| TcpStream::connect(plan.metrics).is_ok())
     }
 
-    /// Waits for a line that tells of an event.
+    /// Waits until an event is logged and returns its first line.
     pub(crate) fn wait_for_line(&self, event: &str) -> Value {
         wait_until("a line is logged", || {
             let logged = self.find_line(event).is_some();
@@ -145,21 +145,21 @@
         self.find_line(event).expect("the line")
     }
 
-    /// The first line that tells of an event.
+    /// Returns the first logged line of an event, or `None` if there is none.
     pub(crate) fn find_line(&self, event: &str) -> Option<Value> {
         let log = self.log.lock().expect("the lines");
         log.iter().find(|line| line["event"] == event).cloned()
     }
 
-    /// All that it has logged.
+    /// Returns the whole log.
     pub(crate) fn log_text(&self) -> String {
         let log = self.log.lock().expect("the lines");
         log.iter().map(|line| format!("{line}\n")).collect()
     }
 
-    /// Panics with its last lines if the instance has ended.
+    /// Panics with the last log line if the instance has ended.
     pub(crate) fn assert_runs(&self) {
-        if self.log_is_over() {
+        if self.log_has_ended() {
             let log = self.log.lock().expect("the lines");
             panic!("an instance has ended: {:?}", log.last());
         }
@@ -170,7 +170,7 @@
         kill(pid, signal).expect("the signal is sent");
     }
 
-    /// Waits for the end; the whole log has been read then.
+    /// Waits for the process to end and its log to be read, and returns the exit status.
     pub(crate) fn wait_for_end(&mut self) -> ExitStatus {
         let status = self.child.wait().expect("an end");
         if let Some(reader) = self.log_reader.take() {
@@ -179,17 +179,17 @@
         status
     }
 
-    /// What it wrote to standard error until its end.
+    /// Returns everything the process wrote to standard error. Waits for its end.
     pub(crate) fn errors(&mut self) -> String {
         let reader = self.error_reader.take().expect("read once");
         reader.join().expect("its errors")
     }
 
-    fn told_plan(&self) -> Option<ListenPlan> {
+    fn logged_plan(&self) -> Option<ListenPlan> {
         ListenPlan::of_line(&self.find_line("started")?)
     }
 
-    fn log_is_over(&self) -> bool {
+    fn log_has_ended(&self) -> bool {
         let reader = self.log_reader.as_ref();
         reader.is_none_or(thread::JoinHandle::is_finished)
     }
--- a/crates/bankvalve/tests/site/keys.rs
+++ b/crates/bankvalve/tests/site/keys.rs
@@ -12,7 +12,7 @@
 const SOUTH: &str = "south-key-ex5wa5xwyhks8nbk";
 const NOBODY: &str = "nobody-key-7b2k9m68gkcuyj8p";
 
-/// The operator writes a version with customers that have these keys.
+/// Writes a version of the configuration, as the operator does, with customers that have these keys.
 fn configure(site: &TestSite, version: u64, keys: &[(&str, &str)]) {
     let rule = QueueRule {
         keyed: true,
@@ -38,34 +38,34 @@
 }
 
 #[test]
-fn keys_open_what_is_their_customers_until_they_are_taken_away_and_stand_nowhere() {
+fn keys_grant_access_until_removed_and_appear_in_no_log_or_metric() {
     let site = TestSite::start(3, 4);
     configure(&site, 2, &[("north", NORTH), ("south", SOUTH)]);
-    let hand_in = submission(&Arc::new(job_of(7, "work=20", &[2])));
+    let submit_request = submission(&Arc::new(job_of(7, "work=20", &[2])));
     for index in 0..3 {
         wait_until("a request without a key is denied", || {
             status(&site, index, &CallerRequest::Status { job: 1 }, None) == 401
         });
     }
     wait_until("a job is accepted", || {
-        status(&site, 0, &hand_in, Some(NORTH)) == 200
+        status(&site, 0, &submit_request, Some(NORTH)) == 200
     });
     for index in 0..3 {
-        let ask = CallerRequest::Status { job: 7 };
+        let status_request = CallerRequest::Status { job: 7 };
         wait_until("its customer sees it", || {
-            status(&site, index, &ask, Some(NORTH)) == 200
+            status(&site, index, &status_request, Some(NORTH)) == 200
         });
-        assert_eq!(status(&site, index, &ask, Some(SOUTH)), 410);
-        assert_eq!(status(&site, index, &hand_in, Some(SOUTH)), 409);
-        assert_eq!(status(&site, index, &ask, Some(NOBODY)), 401);
+        assert_eq!(status(&site, index, &status_request, Some(SOUTH)), 410);
+        assert_eq!(status(&site, index, &submit_request, Some(SOUTH)), 409);
+        assert_eq!(status(&site, index, &status_request, Some(NOBODY)), 401);
     }
     configure(&site, 3, &[("south", SOUTH)]);
     for index in 0..3 {
-        let ask = CallerRequest::Status { job: 7 };
+        let status_request = CallerRequest::Status { job: 7 };
         wait_until("a key that is gone is denied", || {
-            status(&site, index, &ask, Some(NORTH)) == 401
+            status(&site, index, &status_request, Some(NORTH)) == 401
         });
-        assert_eq!(status(&site, index, &hand_in, Some(NORTH)), 401);
+        assert_eq!(status(&site, index, &submit_request, Some(NORTH)), 401);
     }
     for index in 0..3 {
         let written = site.entry(index).log_text() + &site.metrics(index);
--- a/crates/bankvalve/tests/site/leaving.rs
+++ b/crates/bankvalve/tests/site/leaving.rs
@@ -1,4 +1,4 @@
-//! Callers that leave before their answer.
+//! Callers that disconnect before they receive an answer.
 
 use std::io::Write;
 use std::net::TcpStream;
@@ -12,8 +12,8 @@
 use crate::entry_child::ListenPlan;
 use crate::test_site::{job_of, submission, wait_until, TestSite};
 
-/// Time that the instance has for a stop, in milliseconds: far more than one takes that waits for
-/// nobody.
+/// Time that an instance has for a stop, in milliseconds: far more than a stop takes that waits for no
+/// caller.
 const STOP_MS: u64 = 30_000;
 
 #[test]
@@ -40,7 +40,7 @@
     caller.write_all(head.as_bytes()).expect("a head");
     caller.write_all(&call.body).expect("a body");
     site.entry(leader).wait_for_line("accept");
-    // It leaves while the table is silent, so that there is no answer yet.
+    // The caller disconnects while the table does not respond, so it has no answer yet.
     drop(caller);
     site.platform.set_trouble(StoreTrouble::None);
     site.submit(job_of(2, "work=50", &[1]));
--- a/crates/bankvalve/tests/site/main.rs
+++ b/crates/bankvalve/tests/site/main.rs
@@ -1,4 +1,4 @@
-//! Tests of real processes at a site, against a platform that speaks its own protocol.
+//! Tests of real `serve` processes against a stand-in for the platform, over the platform's own protocol.
 
 mod dev;
 mod entry_child;
--- a/crates/bankvalve/tests/site/serving.rs
+++ b/crates/bankvalve/tests/site/serving.rs
@@ -1,26 +1,27 @@
-//! Jobs of both kinds of callers, from being handed in to their end.
+//! Jobs from submission to their end, cancellation, and refused requests.
 
 use std::sync::Arc;
 
 use bankvalve_queue::{CallerAnswer, CallerRequest, JobState, StepSpec, WireCall, WireReply};
 
 use crate::test_site::{
-    assert_once, done_tasks, exchange, job_of, rule_of, submission, wait_until, TestSite, LONGEST,
+    assert_tasks_run_once, count_done, exchange, job_of, rule_of, submission, wait_until, TestSite,
+    MAX_WAIT,
 };
 
 #[test]
-fn jobs_of_steps_end_once_and_are_shown_by_all_instances() {
+fn jobs_with_steps_run_once_and_all_instances_report_them() {
     let site = TestSite::start(3, 4);
     for job in 1..=8 {
         site.submit(job_of(job, "work=60", &[3, 2]));
     }
-    let all = |runs: &[_]| done_tasks(runs) == 8 * 5;
-    assert!(site.platform.wait_for_runs(LONGEST, all));
+    let all = |runs: &[_]| count_done(runs) == 8 * 5;
+    assert!(site.platform.wait_for_runs(MAX_WAIT, all));
     for index in 0..3 {
         site.wait_for_success(index, 1..=8);
     }
     let runs = site.platform.runs();
-    assert_once(&runs);
+    assert_tasks_run_once(&runs);
     let ends = |job: u64, step: u16| {
         let of_step = runs
             .iter()
@@ -42,7 +43,7 @@
 }
 
 #[test]
-fn the_same_id_at_all_instances_at_once_is_one_job() {
+fn a_job_submitted_to_all_instances_at_once_runs_once() {
     let site = TestSite::start(3, 4);
     let spec = Arc::new(job_of(77, "work=50", &[2]));
     let request = submission(&spec);
@@ -52,7 +53,7 @@
             scope.spawn(move || {
                 wait_until("the job is accepted", || {
                     matches!(
-                        site.ask(index, request),
+                        site.send_request(index, request),
                         WireReply::Answer { status: 200, .. }
                     )
                 });
@@ -64,7 +65,7 @@
 }
 
 #[test]
-fn a_gang_fails_whole_and_a_cancelled_job_stops() {
+fn a_gang_fails_as_a_whole_and_a_cancelled_job_stops() {
     let site = TestSite::start(2, 4);
     let mut gang = job_of(5, "work=40 fails", &[3]);
     gang.steps[0] = StepSpec {
@@ -78,31 +79,34 @@
     let both = |runs: &[bankvalve_standin::site::SeenRun]| {
         runs.iter().filter(|run| run.task.step.job == 6).count() == 2
     };
-    assert!(site.platform.wait_for_runs(LONGEST, both));
+    assert!(site.platform.wait_for_runs(MAX_WAIT, both));
     let cancel = CallerRequest::Cancel { job: 6 };
     wait_until("it is cancelled", || {
-        matches!(site.ask(1, &cancel), WireReply::Answer { status: 200, .. })
+        matches!(
+            site.send_request(1, &cancel),
+            WireReply::Answer { status: 200, .. }
+        )
     });
     let stopped = || {
         let runs = site.platform.runs();
         let mut of_job = runs.iter().filter(|run| run.task.step.job == 6);
         of_job.all(|run| run.ended.is_some())
     };
-    // From its answer on, also while the ends of its tasks are being kept.
+    // The job is shown as cancelled from the answer on, even before the ends of its tasks are committed.
     let cancelled = Some(CallerAnswer::State(JobState::Cancelled));
-    let mut looks_after = 0;
-    while looks_after < 100 {
-        assert_eq!(site.state(looks_after % 2, 6), cancelled);
-        looks_after += usize::from(stopped());
+    let mut checks_after_stop = 0;
+    while checks_after_stop < 100 {
+        assert_eq!(site.state(checks_after_stop % 2, 6), cancelled);
+        checks_after_stop += usize::from(stopped());
     }
 }
 
 #[test]
-fn what_is_not_there_or_not_well_formed_is_told_by_name() {
+fn unknown_jobs_invalid_jobs_and_unknown_routes_are_refused() {
     let mut site = TestSite::start(2, 2);
     assert_eq!(site.state(0, 404), Some(CallerAnswer::NoSuchJob));
     let bad = job_of(9, "", &[0]);
-    let reply = site.ask(1, &submission(&Arc::new(bad)));
+    let reply = site.send_request(1, &submission(&Arc::new(bad)));
     let WireReply::Answer { status: 400, body } = reply else {
         panic!("expected a refusal of the job, found {reply:?}");
     };
@@ -116,7 +120,7 @@
     };
     let reply = exchange(site.entry(0).plan().callers, &elsewhere);
     assert!(matches!(reply, WireReply::Answer { status: 404, .. }));
-    // A route that the operator adds is served, and one that is taken away is not.
+    // A route that the operator adds is served; one that the operator removes is not.
     let added = rule_of("other", "/other/");
     site.configure(2, vec![added.clone()]);
     let old = std::mem::replace(&mut site.rule, added);
@@ -126,14 +130,14 @@
     for index in 0..2 {
         wait_until("the new queue is known", || {
             matches!(
-                site.ask(index, &count),
+                site.send_request(index, &count),
                 WireReply::Answer { status: 200, .. }
             )
         });
     }
     site.rule = old;
     assert!(matches!(
-        site.ask(0, &count),
+        site.send_request(0, &count),
         WireReply::Answer { status: 404, .. }
     ));
 }
--- a/crates/bankvalve/tests/site/starting.rs
+++ b/crates/bankvalve/tests/site/starting.rs
@@ -1,4 +1,4 @@
-//! Instances that start while other processes do.
+//! Starts of instances in parallel, and while their addresses are in use.
 
 use std::net::{SocketAddr, TcpListener};
 use std::os::fd::OwnedFd;
@@ -9,17 +9,18 @@
 use crate::entry_child::ListenPlan;
 use crate::test_site::TestSite;
 
-/// Threads that start instances at once, as the tests of a theme do side by side.
+/// Threads that start instances at the same time, as parallel tests of one binary do.
 const THREADS: usize = 8;
-/// Instances that each of them starts, one after the other.
+/// Instances that each thread starts, one after another.
 const STARTS: usize = 250;
 
-/// The longest that a site can set for a stop, in milliseconds: a day, in which no test ends.
+/// Longest stop time that a site can configure, in milliseconds: a day, so it never expires during a test.
 const LONGEST_STOP_MS: u64 = 86_400_000;
-/// The shortest, in milliseconds.
+/// Shortest stop time that a site can configure, in milliseconds.
 const SHORTEST_STOP_MS: u64 = 500;
 
-/// An address that another process holds, as one that stops only now.
+/// An address that another process has bound, like a previous process of the instance that has not stopped
+/// yet.
 struct HeldAddress {
     address: SocketAddr,
     holder: Child,
@@ -37,7 +38,7 @@
         Self { address, holder }
     }
 
-    /// The addresses of an instance whose peers' one is held.
+    /// Returns addresses for an instance of which the one for peers is in use.
     fn plan(&self) -> ListenPlan {
         ListenPlan {
             peers: self.address,
@@ -48,14 +49,14 @@
 
 impl Drop for HeldAddress {
     fn drop(&mut self) {
-        // It may have ended already.
+        // Fails if the process has ended already.
         let _ = self.holder.kill();
         let _ = self.holder.wait();
     }
 }
 
 #[test]
-fn instances_that_start_side_by_side_all_listen() {
+fn instances_started_in_parallel_all_listen() {
     let site = TestSite::start(0, 1);
     let count_failed = &|thread: usize| {
         let instances = thread * STARTS..(thread + 1) * STARTS;
@@ -72,7 +73,7 @@
 }
 
 #[test]
-fn an_address_that_is_still_held_is_tried_again_and_each_try_is_logged() {
+fn an_address_in_use_is_retried_and_each_attempt_is_logged() {
     let site = TestSite::start(0, 1);
     let held = HeldAddress::take();
     let plan = held.plan();
@@ -91,7 +92,7 @@
 }
 
 #[test]
-fn a_start_that_fails_is_told_on_the_log_and_by_the_exit_code() {
+fn a_failed_start_is_logged_and_sets_the_exit_code() {
     let site = TestSite::start(0, 1);
     let held = HeldAddress::take();
     let mut entry = site.spawn_with(0, &held.plan(), SHORTEST_STOP_MS);
@@ -108,7 +109,7 @@
 }
 
 #[test]
-fn an_instance_that_waits_for_an_address_stops_when_told() {
+fn an_instance_waiting_for_an_address_stops_on_sigterm() {
     let site = TestSite::start(0, 1);
     let held = HeldAddress::take();
     let mut entry = site.spawn_with(0, &held.plan(), LONGEST_STOP_MS);
--- a/crates/bankvalve/tests/site/test_site.rs
+++ b/crates/bankvalve/tests/site/test_site.rs
@@ -18,16 +18,16 @@
 
 use crate::entry_child::{EntryChild, ListenPlan};
 
-/// Longest that anything is waited for; never reached when all goes well.
-pub(crate) const LONGEST: Duration = Duration::from_secs(60);
-/// Service of all queues.
+/// Upper limit of every wait. Reaching it fails the test.
+pub(crate) const MAX_WAIT: Duration = Duration::from_secs(60);
+/// Service whose workers run the jobs of all queues.
 const SERVICE: &str = "billing";
-/// Time that callers wait, in milliseconds.
-const PATIENCE_MS: u64 = 3_000;
+/// Time that callers wait for an answer, in milliseconds.
+const CALLER_TIMEOUT_MS: u64 = 3_000;
 /// Time that instances have for a stop, in milliseconds, as on the platform.
 const STOP_MS: u64 = 4_200;
 
-/// A site of real processes.
+/// Real `serve` processes and the stand-in platform that they use.
 pub(crate) struct TestSite {
     pub(crate) platform: SitePlatform,
     pub(crate) entries: Vec<Option<EntryChild>>,
@@ -35,16 +35,17 @@
     folder: tempfile::TempDir,
 }
 
-/// Waits until a condition holds that talks to a process each time.
+/// Waits until a condition holds; panics after [`MAX_WAIT`]. There is no pause between two checks, since each
+/// one exchanges messages with a process.
 pub(crate) fn wait_until(what: &str, mut holds: impl FnMut() -> bool) {
     let begun = Instant::now();
     while !holds() {
-        assert!(begun.elapsed() < LONGEST, "not in time: {what}");
+        assert!(begun.elapsed() < MAX_WAIT, "not in time: {what}");
         std::thread::yield_now();
     }
 }
 
-/// A job with steps of so many tasks, each after the one before.
+/// Returns a job with one step for each count of tasks, where each step runs after the one before.
 pub(crate) fn job_of(id: JobId, payload: &str, counts: &[u32]) -> JobSpec {
     let steps = counts.iter().enumerate().map(|(number, count)| StepSpec {
         count: *count,
@@ -66,14 +67,14 @@
     }
 }
 
-/// Tells whether so many tasks have ended well.
-pub(crate) fn done_tasks(runs: &[SeenRun]) -> usize {
+/// Returns the number of runs that have ended successfully.
+pub(crate) fn count_done(runs: &[SeenRun]) -> usize {
     let done = |run: &&SeenRun| matches!(run.ended, Some((_, how)) if how == bankvalve_queue::EndKind::Done);
     runs.iter().filter(done).count()
 }
 
-/// No task runs twice at once, and none after it has ended well.
-pub(crate) fn assert_once(runs: &[SeenRun]) {
+/// Asserts that no task runs twice at the same time, and that none runs again after it has succeeded.
+pub(crate) fn assert_tasks_run_once(runs: &[SeenRun]) {
     let mut by_task: BTreeMap<TaskKey, Vec<&SeenRun>> = BTreeMap::new();
     for run in runs {
         by_task.entry(run.task).or_default().push(run);
@@ -120,12 +121,12 @@
         self.platform.configure(table);
     }
 
-    /// Starts an instance with settings of its own; the system chooses the ports.
+    /// Starts an instance with its own settings file and with ports that the system assigns.
     pub(crate) fn spawn(&self, index: usize) -> EntryChild {
         self.spawn_with(index, &ListenPlan::any(), STOP_MS)
     }
 
-    /// Kills all instances and starts them anew, all at once, where they listened before.
+    /// Kills all instances and restarts them, all at once, on their previous addresses.
     pub(crate) fn restart_all(&mut self) {
         let plans = self.entries.drain(..).flatten();
         let plans = plans.map(|entry| entry.plan().clone()).collect::<Vec<_>>();
@@ -137,7 +138,7 @@
         }
     }
 
-    /// Starts an instance that has so many milliseconds for a stop, or to find an address free.
+    /// Starts an instance with a stop time of `stop_ms`, which also limits its wait for an address in use.
     pub(crate) fn spawn_with(&self, index: usize, plan: &ListenPlan, stop_ms: u64) -> EntryChild {
         let file = self.folder.path().join(format!("entry-{index}.jsonc"));
         let settings = serde_json::json!({
@@ -175,7 +176,7 @@
         });
     }
 
-    /// The instance that leads, by the instances' own metrics.
+    /// Returns the index of the instance that leads, according to the instances' metrics.
     pub(crate) fn leader(&self) -> Option<usize> {
         let leads = |entry: &EntryChild| {
             metrics_of(entry).lines().any(|line| {
@@ -193,7 +194,7 @@
         metrics_of(self.entry(index))
     }
 
-    /// Sends SIGKILL and waits for the end.
+    /// Sends SIGKILL to an instance and waits for its end.
     pub(crate) fn kill(&mut self, index: usize) {
         self.entries[index] = None;
     }
@@ -207,13 +208,13 @@
         entry.wait_for_end()
     }
 
-    /// A caller's request at an instance, as it is answered.
-    pub(crate) fn ask(&self, index: usize, request: &CallerRequest) -> WireReply {
+    /// Sends a caller's request to an instance and returns the reply.
+    pub(crate) fn send_request(&self, index: usize, request: &CallerRequest) -> WireReply {
         let call = counterpart::write_request(&self.rule, request, None);
         exchange(self.entry(index).plan().callers, &call)
     }
 
-    /// Hands a job in at any instance, and again until it is accepted.
+    /// Submits a job to the instances in turn until one accepts it.
     pub(crate) fn submit(&self, spec: JobSpec) {
         let spec = Arc::new(spec);
         let request = submission(&spec);
@@ -222,17 +223,17 @@
             turn += 1;
             let index = turn % self.entries.len();
             self.entries[index].is_some()
-                && counterpart::read_answer(&request, &self.ask(index, &request))
+                && counterpart::read_answer(&request, &self.send_request(index, &request))
                     == Some(CallerAnswer::Accepted)
         });
     }
 
     pub(crate) fn state(&self, index: usize, job: JobId) -> Option<CallerAnswer> {
         let request = CallerRequest::Status { job };
-        counterpart::read_answer(&request, &self.ask(index, &request))
+        counterpart::read_answer(&request, &self.send_request(index, &request))
     }
 
-    /// Waits until jobs are shown as succeeded by an instance.
+    /// Waits until an instance reports all of the jobs as succeeded.
     pub(crate) fn wait_for_success(&self, index: usize, jobs: impl Iterator<Item = JobId>) {
         for job in jobs {
             let wanted = Some(CallerAnswer::State(JobState::Succeeded));
@@ -285,20 +286,21 @@
     }
 }
 
-/// One call on a connection of its own.
+/// Performs a call on a new connection and returns the reply.
 pub(crate) fn exchange(to: SocketAddr, call: &WireCall) -> WireReply {
-    match exchange_whole(to, call) {
+    match exchange_full(to, call) {
         Some((status, _, body)) => WireReply::Answer { status, body },
         None => WireReply::NoReply,
     }
 }
 
-/// Status, head and body of the answer to a call.
-pub(crate) fn exchange_whole(to: SocketAddr, call: &WireCall) -> Option<(u16, String, Vec<u8>)> {
+/// Performs a call on a new connection and returns the status, head and body of the answer, or `None` if
+/// there is none.
+pub(crate) fn exchange_full(to: SocketAddr, call: &WireCall) -> Option<(u16, String, Vec<u8>)> {
     let mut stream = TcpStream::connect(to).ok()?;
-    stream.set_read_timeout(Some(LONGEST)).ok()?;
+    stream.set_read_timeout(Some(MAX_WAIT)).ok()?;
     let mut head = format!(
-        "{} {} HTTP/1.1\r\nconnection: close\r\nx-deadline-ms: {PATIENCE_MS}\r\ncontent-length: {}\r\n",
+        "{} {} HTTP/1.1\r\nconnection: close\r\nx-deadline-ms: {CALLER_TIMEOUT_MS}\r\ncontent-length: {}\r\n",
         call.method,
         call.path,
         call.body.len()
--- a/crates/bankvalve/tests/site/trouble.rs
+++ b/crates/bankvalve/tests/site/trouble.rs
@@ -1,4 +1,4 @@
-//! The platform in trouble.
+//! Failures of the platform: an unavailable table, lost answers, unresponsive workers.
 
 use std::sync::Arc;
 
@@ -6,11 +6,12 @@
 use bankvalve_standin::site::StoreTrouble;
 
 use crate::test_site::{
-    assert_once, done_tasks, exchange_whole, job_of, submission, wait_until, TestSite, LONGEST,
+    assert_tasks_run_once, count_done, exchange_full, job_of, submission, wait_until, TestSite,
+    MAX_WAIT,
 };
 
 #[test]
-fn while_the_table_turns_all_away_jobs_are_refused_with_a_time_to_come_back() {
+fn jobs_are_refused_with_a_retry_time_while_the_table_refuses_requests() {
     let site = TestSite::start(2, 3);
     site.submit(job_of(1, "work=50", &[1]));
     site.platform.set_trouble(StoreTrouble::Refuses);
@@ -19,7 +20,7 @@
         bankvalve_platform::counterpart::write_request(&site.rule, &submission(&refused), None);
     let mut head = String::new();
     wait_until("a job is refused", || {
-        let answer = exchange_whole(site.entry(0).plan().callers, &call);
+        let answer = exchange_full(site.entry(0).plan().callers, &call);
         let refusal = answer.filter(|(status, ..)| *status == 503);
         head = refusal.map_or(String::new(), |(_, head, _)| head);
         !head.is_empty()
@@ -43,13 +44,13 @@
 }
 
 #[test]
-fn writes_whose_answers_are_lost_are_done_once() {
+fn writes_with_lost_answers_are_applied_once() {
     let site = TestSite::start(2, 3);
     site.submit(job_of(1, "work=50", &[1]));
     site.platform.set_trouble(StoreTrouble::LosesAnswers);
     let spec = Arc::new(job_of(2, "work=50", &[2]));
-    let reply = site.ask(0, &submission(&spec));
-    // It is said that it is not known, unless a copy of the write showed that it was done.
+    let reply = site.send_request(0, &submission(&spec));
+    // 504 (outcome unknown), unless a retransmission of the write shows that it was applied.
     assert!(
         matches!(
             reply,
@@ -64,37 +65,38 @@
     site.submit(job_of(2, "work=50", &[2]));
     site.wait_for_success(0, 1..=2);
     let runs = site.platform.runs();
-    assert_once(&runs);
-    assert_eq!(done_tasks(&runs), 3);
+    assert_tasks_run_once(&runs);
+    assert_eq!(count_done(&runs), 3);
 }
 
 #[test]
-fn a_silent_workers_tasks_run_elsewhere_only_after_its_hold() {
+fn a_task_of_an_unresponsive_worker_runs_elsewhere_only_after_its_first_run_has_ended() {
     let site = TestSite::start(2, 3);
     site.submit(job_of(1, "work=1500", &[1]));
     let begun = |runs: &[bankvalve_standin::site::SeenRun]| !runs.is_empty();
-    assert!(site.platform.wait_for_runs(LONGEST, begun));
+    assert!(site.platform.wait_for_runs(MAX_WAIT, begun));
     let first = site.platform.runs()[0].clone();
-    // Its task would end well if it were not for the hold, which nobody prolongs.
+    // The first run goes on, but its end cannot be reported. The leader may start the task elsewhere only
+    // once the lease, which it can no longer renew, has expired.
     site.platform.silence_worker(&first.worker, true);
     let again = |runs: &[bankvalve_standin::site::SeenRun]| {
         runs.iter()
             .any(|run| run.worker != first.worker && run.ended.is_some())
     };
-    assert!(site.platform.wait_for_runs(LONGEST, again));
+    assert!(site.platform.wait_for_runs(MAX_WAIT, again));
     site.wait_for_success(0, 1..=1);
     let runs = site.platform.runs();
     for run in runs.iter().filter(|run| run.worker != first.worker) {
-        let over = runs
+        let former_end = runs
             .iter()
             .find(|old| old.worker == first.worker)
             .and_then(|old| old.ended);
-        assert!(over.is_some_and(|(at, _)| at <= run.began_ms));
+        assert!(former_end.is_some_and(|(at, _)| at <= run.began_ms));
     }
 }
 
 #[test]
-fn a_forgotten_history_is_read_anew() {
+fn the_table_is_read_again_after_its_change_history_is_lost() {
     let site = TestSite::start(2, 3);
     site.submit(job_of(1, "work=50", &[1]));
     site.platform.forget_history();
@@ -103,13 +105,13 @@
         site.submit(job_of(job, "work=200", &[3]));
     }
     let used = |runs: &[bankvalve_standin::site::SeenRun]| runs.iter().any(|run| run.worker == id);
-    assert!(site.platform.wait_for_runs(LONGEST, used));
+    assert!(site.platform.wait_for_runs(MAX_WAIT, used));
     site.wait_for_success(0, 1..=20);
-    assert_once(&site.platform.runs());
+    assert_tasks_run_once(&site.platform.runs());
 }
 
 #[test]
-fn a_queue_is_not_denied_while_the_table_does_not_tell() {
+fn an_unknown_queue_is_not_denied_while_the_table_refuses_requests() {
     let site = TestSite::start(2, 2);
     let elsewhere = WireCall {
         method: "GET",
@@ -117,12 +119,13 @@
         headers: vec![("host", "hobart.example".into())],
         ..WireCall::default()
     };
-    let ask = || exchange_whole(site.entry(0).plan().callers, &elsewhere).expect("an answer");
-    assert_eq!(ask().0, 404);
+    let send_request =
+        || exchange_full(site.entry(0).plan().callers, &elsewhere).expect("an answer");
+    assert_eq!(send_request().0, 404);
     site.platform.set_trouble(StoreTrouble::Refuses);
-    let (status, head, _) = ask();
+    let (status, head, _) = send_request();
     assert_eq!(status, 503);
     assert!(head.contains("retry-after"), "{head}");
     site.platform.set_trouble(StoreTrouble::None);
-    wait_until("it is known not to be there", || ask().0 == 404);
+    wait_until("it is known not to be there", || send_request().0 == 404);
 }
