--- a/crates/bankvalve_cell/src/contract/cell_bundle.rs
+++ b/crates/bankvalve_cell/src/contract/cell_bundle.rs
@@ -1,4 +1,4 @@
-//! The versioned bundle of configuration that governs a cell.
+//! The cell's configuration, as a versioned bundle.
 
 use std::collections::BTreeMap;
 
@@ -8,16 +8,16 @@
 use crate::ids::{BundleVersion, TeamName};
 use crate::machine::TaskSize;
 
-/// What a team is entitled to.
+/// Quota, weight and placement rule of a team.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TeamContract {
-    /// Room that the team's placed tasks may take together.
+    /// Most resources that the team's assigned and running tasks may use together.
     pub quota: TaskSize,
-    /// Share relative to other teams when room is short.
+    /// Share relative to other teams when capacity is short.
     #[serde(default = "default_weight")]
     pub weight: u32,
-    /// Where all of the team's work may and may not live.
+    /// Regions and failure domains in which the team's tasks may run.
     #[serde(default)]
     pub place: PlaceRule,
 }
@@ -42,12 +42,12 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct CellBundle {
-    /// Version; one more than that of the bundle it follows.
+    /// Version: one more than the version of the previous bundle.
     pub version: BundleVersion,
-    /// Operator who wrote it.
+    /// Operator who wrote the bundle.
     #[serde(default)]
     pub author: String,
-    /// Teams and what they are entitled to.
+    /// Teams of the cell and their contracts.
     #[serde(default)]
     pub teams: BTreeMap<TeamName, TeamContract>,
 }
@@ -57,7 +57,7 @@
     ///
     /// # Errors
     ///
-    /// Returns the first field that is not as it must be.
+    /// Returns the first invalid field.
     pub fn check(&self) -> Result<(), SpecProblem> {
         let problem = |field: String, expected: &str| SpecProblem {
             field,
--- a/crates/bankvalve_cell/src/contract/job_spec.rs
+++ b/crates/bankvalve_cell/src/contract/job_spec.rs
@@ -1,52 +1,52 @@
-//! Jobs as their submitters describe them.
+//! Jobs, as submitters describe them.
 
 use serde::{Deserialize, Serialize};
 
 use crate::ids::{DomainName, JobId, ServiceName, TaskIndex, TeamName};
 use crate::machine::{TaskSize, WorkerDetail};
 
-/// Longest job id or service name, in bytes.
-const NAME_LIMIT: usize = 120;
-/// Most tasks in one job.
-const TASK_LIMIT: u32 = 2_000;
+/// Maximum length of a job id, team name or service name, in bytes.
+const MAX_NAME_BYTES: usize = 120;
+/// Maximum number of tasks in one job.
+const MAX_TASKS: u32 = 2_000;
 
-/// What kind of work a job is, and how many tasks it has.
+/// Kind of a job and the number of its tasks.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
 pub enum JobKind {
     /// Long-running tasks that serve requests until the job is cancelled.
     Service {
-        /// Name that callers use.
+        /// Name by which callers address the service.
         service: ServiceName,
-        /// Tasks to keep running.
+        /// Number of tasks to keep running.
         replicas: u32,
-        /// Tasks that must stay up while workers drain.
+        /// Minimum number of tasks that keep running while tasks move off draining or leaving workers.
         min_available: u32,
     },
-    /// Independent tasks that each run to an end.
+    /// Independent tasks that each run to completion.
     Batch {
         /// Number of tasks.
         tasks: u32,
     },
-    /// Tasks that start all together or not at all.
+    /// Tasks that start together or not at all.
     Gang {
         /// Number of tasks.
         tasks: u32,
     },
 }
 
-/// Where a job's tasks may and may not live.
+/// Placement rule: the regions and failure domains in which tasks may run.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct PlaceRule {
-    /// Regions or failure domains that are allowed; empty allows all.
+    /// Allowed regions or failure domains. An empty list allows all of them.
     pub allow: Vec<DomainName>,
-    /// Regions or failure domains that are denied; a denial wins.
+    /// Denied regions or failure domains. They take precedence over `allow`.
     pub deny: Vec<DomainName>,
 }
 
 impl PlaceRule {
-    /// Tells whether the rule admits a place.
+    /// Returns whether the rule admits a failure domain of a region.
     ///
     /// # Examples
     ///
@@ -58,26 +58,28 @@
     /// assert!(!rule.admits("tasmania", "burnie"));
     /// ```
     pub fn admits(&self, region: &str, domain: &str) -> bool {
-        let names = |list: &[String]| list.iter().any(|name| name == region || name == domain);
-        if names(&self.deny) {
+        let contains_name =
+            |list: &[String]| list.iter().any(|name| name == region || name == domain);
+        if contains_name(&self.deny) {
             return false;
         }
-        self.allow.is_empty() || names(&self.allow)
+        self.allow.is_empty() || contains_name(&self.allow)
     }
 
-    /// Tells whether the rule admits a worker.
+    /// Returns whether the rule admits the region and failure domain of a worker.
     pub fn admits_worker(&self, detail: &WorkerDetail) -> bool {
         self.admits(&detail.region, &detail.domain)
     }
 }
 
-/// A job: what to run, how large it is and where it may live.
+/// A job: what to run, the size of its tasks and where they may run.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct JobSpec {
-    /// Id that the submitter chose; submitting it again is answered alike.
+    /// Id that the submitter chose. Submitting the same job again is accepted and changes nothing; a
+    /// different job with this id is refused.
     pub id: JobId,
-    /// Team that it counts against.
+    /// Team whose quota the job counts against.
     pub team: TeamName,
     /// Kind and number of tasks.
     pub kind: JobKind,
@@ -86,16 +88,16 @@
     /// Declared run time of each task, in milliseconds; unused for services.
     #[serde(default)]
     pub run_time_ms: u64,
-    /// Urgent work may preempt batch tasks.
+    /// Whether the job is urgent. Urgent tasks may preempt batch tasks.
     #[serde(default)]
     pub urgent: bool,
-    /// Whether a task may run again when it is not known whether it ran.
+    /// Whether a task may run again if it is unknown whether it has run.
     #[serde(default = "default_repeatable")]
     pub repeatable: bool,
-    /// Where its tasks may and may not live.
+    /// Regions and failure domains in which the tasks may run.
     #[serde(default)]
     pub place: PlaceRule,
-    /// What the worker is to run.
+    /// What the worker runs, passed to it unchanged.
     #[serde(default)]
     pub payload: String,
 }
@@ -104,12 +106,12 @@
     true
 }
 
-/// A field of a job that is not as it must be.
+/// An invalid field of a job or of a bundle, and what was expected of it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SpecProblem {
-    /// The field.
+    /// Path of the field, such as `kind.service.min_available`.
     pub field: String,
-    /// What was expected of it.
+    /// Description of the valid values.
     pub expected: String,
 }
 
@@ -123,7 +125,7 @@
 }
 
 impl JobSpec {
-    /// Number of tasks that the job has.
+    /// Returns the number of tasks.
     pub fn task_count(&self) -> u32 {
         match self.kind {
             JobKind::Service { replicas, .. } => replicas,
@@ -131,12 +133,12 @@
         }
     }
 
-    /// Indexes of its tasks.
+    /// Returns the indexes of the tasks.
     pub fn tasks(&self) -> std::ops::Range<TaskIndex> {
         0..self.task_count()
     }
 
-    /// Name of the service, if the job is one.
+    /// Returns the name of the service, or `None` if the job is of another kind.
     pub fn service(&self) -> Option<&ServiceName> {
         match &self.kind {
             JobKind::Service { service, .. } => Some(service),
@@ -144,12 +146,12 @@
         }
     }
 
-    /// Tells whether the tasks must start together.
+    /// Returns whether the tasks must start together.
     pub fn is_gang(&self) -> bool {
         matches!(self.kind, JobKind::Gang { .. })
     }
 
-    /// Word for the kind, as shown to people.
+    /// Returns the name of the kind used in command output.
     pub fn kind_name(&self) -> &'static str {
         match self.kind {
             JobKind::Service { .. } => "service",
@@ -158,30 +160,33 @@
         }
     }
 
-    /// Checks the fields that can be checked without knowing the cell.
+    /// Checks the fields that do not depend on the cell's bundle or workers.
     ///
     /// # Errors
     ///
-    /// Returns the first field that is not as it must be.
+    /// Returns the first invalid field.
     pub fn check(&self) -> Result<(), SpecProblem> {
-        let name_ok = |name: &str| {
+        let is_valid_name = |name: &str| {
             !name.is_empty()
-                && name.len() <= NAME_LIMIT
+                && name.len() <= MAX_NAME_BYTES
                 && name
                     .bytes()
                     .all(|byte| byte.is_ascii_alphanumeric() || b"-_.".contains(&byte))
         };
         const NAME: &str = "1 to 120 letters, digits, '-', '_' or '.'";
-        if !name_ok(&self.id) {
+        if !is_valid_name(&self.id) {
             return Err(SpecProblem::new("id", NAME));
         }
-        if !name_ok(&self.team) {
+        if !is_valid_name(&self.team) {
             return Err(SpecProblem::new("team", NAME));
         }
-        if self.service().is_some_and(|service| !name_ok(service)) {
+        if self
+            .service()
+            .is_some_and(|service| !is_valid_name(service))
+        {
             return Err(SpecProblem::new("kind.service.service", NAME));
         }
-        if self.task_count() == 0 || self.task_count() > TASK_LIMIT {
+        if self.task_count() == 0 || self.task_count() > MAX_TASKS {
             return Err(SpecProblem::new("kind", "1 to 2000 tasks"));
         }
         if let JobKind::Service {
--- a/crates/bankvalve_cell/src/contract/mod.rs
+++ b/crates/bankvalve_cell/src/contract/mod.rs
@@ -1,4 +1,4 @@
-//! Contracts of a cell: jobs, the bundle that governs them, and leases.
+//! Contracts of a cell: jobs, the configuration bundle, and worker leases.
 
 mod cell_bundle;
 mod job_spec;
--- a/crates/bankvalve_cell/src/contract/worker_lease.rs
+++ b/crates/bankvalve_cell/src/contract/worker_lease.rs
@@ -1,8 +1,9 @@
-//! The lease under which a worker runs tasks.
+//! Leases under which workers run tasks.
 //!
-//! A lease ends at a reading of the worker's own clock. The owner computes
-//! it from the last reading that the worker reported, so a command that is
-//! delayed on its way can never extend a lease past what the owner expects.
+//! The end of a lease is a time on the worker's own clock. The owner computes
+//! it from the last clock reading that the worker reported, not from the time
+//! at which a command arrives. A delayed command therefore cannot extend a
+//! lease past the end that the owner expects.
 
 use std::time::Duration;
 
@@ -10,25 +11,26 @@
 
 use crate::ids::{CellTime, WorkerClock};
 
-/// Largest relative difference assumed between the rates of two clocks.
+/// Largest assumed relative difference between the rates of two clocks (0.01 is one percent).
 pub const CLOCK_RATE_BOUND: f64 = 0.01;
 
-/// A worker's clock reading and when the owner received it.
+/// A clock reading that a worker reported, from which its owner computes lease ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WorkerLease {
-    /// The worker's reading, in milliseconds.
+    /// Reading of the worker's clock, in milliseconds.
     pub reading: WorkerClock,
-    /// When the owner received the reading, by the owner's clock.
+    /// Time on the owner's clock at which the owner received the reading.
     pub received: CellTime,
 }
 
 impl WorkerLease {
-    /// End of a lease of the given length, as a reading of the worker's clock.
+    /// Returns the end of a lease of this length, as a time on the worker's clock.
     pub fn granted_until(&self, length: Duration) -> WorkerClock {
         self.reading + length.as_millis() as WorkerClock
     }
 
-    /// Time by the owner's clock after which a lease granted from this reading has surely ended.
+    /// Returns the time on the owner's clock by which a lease granted from this reading has ended, even
+    /// if the owner's clock runs faster than the worker's by `CLOCK_RATE_BOUND`.
     ///
     /// # Examples
     ///
--- a/crates/bankvalve_cell/src/link/caller_command.rs
+++ b/crates/bankvalve_cell/src/link/caller_command.rs
@@ -1,4 +1,4 @@
-//! What callers and operators ask of an entry instance, and the answers.
+//! Commands of callers and operators to an entry instance, and the answers.
 
 use serde::{Deserialize, Serialize};
 
@@ -25,7 +25,7 @@
         /// The job.
         job: JobId,
     },
-    /// Tell how a job stands.
+    /// Show the status of a job.
     Status {
         /// The team.
         team: TeamName,
@@ -37,25 +37,25 @@
         /// The team.
         team: TeamName,
     },
-    /// Stop giving a worker new work and move what it holds, or undo that.
+    /// Stop placing tasks on a worker and move its tasks to other workers, or undo that.
     DrainWorker {
         /// The worker.
         worker: WorkerName,
-        /// Whether to drain it.
+        /// Whether to drain the worker or to undo its drain.
         drain: bool,
     },
     /// List the workers of the partitions that this instance owns.
     Workers,
     /// List the entry instances.
     Instances,
-    /// Stop an entry instance as planned.
+    /// Hand over the partitions of an entry instance and stop it.
     DrainInstance {
         /// The instance.
         instance: InstanceName,
     },
-    /// Show the bundle in force.
+    /// Show the bundle in use.
     Bundle,
-    /// Put a bundle in force after the version before it.
+    /// Use a new bundle, whose version must follow the version in use.
     AcceptBundle {
         /// The bundle.
         bundle: Box<CellBundle>,
@@ -63,7 +63,7 @@
 }
 
 impl CallerCommand {
-    /// The team whose partition's owner must answer, if any.
+    /// Returns the team whose partition owner must answer the command, or `None` if any instance can.
     pub fn team(&self) -> Option<&TeamName> {
         match self {
             CallerCommand::Submit { spec } => Some(&spec.team),
@@ -75,22 +75,22 @@
     }
 }
 
-/// A refusal: the work was certainly not run, and why.
+/// A refusal of a command or a request, which has had no effect.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Refusal {
     /// The reason.
     pub reason: RefusalReason,
-    /// What was expected, or what is missing.
+    /// Text for the caller: what was expected, or what is missing.
     pub detail: String,
-    /// When to come back, in milliseconds; none if coming back does not help.
+    /// Time after which to retry, in milliseconds, or `None` if a retry does not help.
     pub retry_after_ms: Option<u64>,
-    /// The field at fault, if one is.
+    /// The invalid field, if the refusal is about one.
     #[serde(default)]
     pub field: Option<String>,
 }
 
 impl Refusal {
-    /// Makes a refusal that coming back does not help.
+    /// Creates a permanent refusal: a retry does not help.
     pub fn permanent(reason: RefusalReason, detail: impl Into<String>) -> Self {
         Self {
             reason,
@@ -100,7 +100,7 @@
         }
     }
 
-    /// Makes a refusal that ends by itself after a while.
+    /// Creates a temporary refusal: a retry after `retry_after_ms` may succeed.
     pub fn temporary(
         reason: RefusalReason,
         detail: impl Into<String>,
@@ -112,7 +112,7 @@
         }
     }
 
-    /// Makes a refusal of a malformed field.
+    /// Creates a permanent refusal for an invalid field.
     pub fn field(problem: SpecProblem) -> Self {
         Self {
             field: Some(problem.field),
@@ -121,24 +121,24 @@
     }
 }
 
-/// How a task stands.
+/// Status of a task.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TaskView {
     /// Index of the task.
     pub task: TaskIndex,
-    /// Latest attempt, zero before the first.
+    /// Number of the latest attempt, zero before the first.
     pub attempt: Attempt,
     /// Phase: `waiting`, `assigned`, `running` or the outcome.
     pub phase: String,
-    /// Worker that it runs or ran on.
+    /// Worker that the task runs on or last ran on.
     pub worker: Option<WorkerName>,
     /// Time from submission to the first start, in milliseconds.
     pub waited_ms: Option<u64>,
-    /// Why it waits.
+    /// Why the task waits, if it does.
     pub why: Option<RefusalReason>,
 }
 
-/// How a job stands.
+/// Status of a job.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct JobView {
     /// The team.
@@ -155,62 +155,62 @@
     pub tasks: Vec<TaskView>,
 }
 
-/// How a worker stands with its owner.
+/// Status of a worker, as its owner knows it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WorkerView {
     /// The worker.
     pub detail: WorkerDetail,
-    /// Its partition.
+    /// Worker partition that the worker belongs to.
     pub partition: PartitionIndex,
     /// The entry instance that owns it.
     pub owner: InstanceName,
     /// State: `ready`, `unfenced`, `unreachable`, `draining` or `quarantined`.
     pub state: String,
-    /// Reserved room.
+    /// Capacity in use by tasks and reservations.
     pub reserved: TaskSize,
-    /// Tasks running on it.
+    /// Number of tasks that use this capacity.
     pub tasks: u32,
 }
 
 /// A partition and its owner.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PartitionView {
-    /// Key of its row.
+    /// Key of the partition's row in the table service.
     pub key: String,
-    /// Its owner; empty if it has none.
+    /// Its owner, or an empty string if it has none.
     pub owner: InstanceName,
     /// Its epoch.
     pub epoch: Epoch,
 }
 
-/// How an entry instance stands.
+/// Status of an entry instance.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct InstanceView {
     /// The instance.
     pub detail: InstanceDetail,
-    /// Its life.
+    /// Its incarnation.
     pub incarnation: Incarnation,
-    /// State: `live`, `stopping` or `unresponsive`.
+    /// State: `live`, `stopping` or `silent`.
     pub state: String,
-    /// Partitions that it owns.
+    /// Number of partitions that it owns.
     pub partitions: u32,
 }
 
 /// An answer to a command.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum CallerAnswer {
-    /// The job is recorded and will run.
+    /// The job is committed to the ledger and will run.
     Accepted {
-        /// Whether it had been accepted before.
+        /// Whether the same job had been accepted before.
         again: bool,
     },
-    /// The cancellation is recorded.
+    /// The cancellation is committed to the ledger.
     Cancelled,
-    /// How the job stands.
+    /// Status of the job.
     Job(Box<JobView>),
     /// A team's jobs.
     Jobs(Vec<JobView>),
-    /// Workers.
+    /// Status of the listed workers.
     Workers(Vec<WorkerView>),
     /// Entry instances and partitions.
     Instances {
@@ -219,22 +219,22 @@
         /// The partitions.
         partitions: Vec<PartitionView>,
     },
-    /// Done.
+    /// The command was carried out.
     Done,
-    /// The bundle in force.
+    /// The bundle in use.
     Bundle {
         /// The bundle.
         bundle: Box<CellBundle>,
-        /// How long ago the store last confirmed it, in milliseconds.
+        /// Time since the table service last confirmed the bundle, in milliseconds.
         confirmed_ms_ago: Option<u64>,
     },
-    /// The bundle is in force from this version on.
+    /// The bundle with this version is in use.
     BundleAccepted(BundleVersion),
-    /// Certainly not done.
+    /// The command was refused and has had no effect.
     NotRun(Refusal),
-    /// It may or may not have been done; asking for the status tells.
+    /// The command may or may not have taken effect. A status request shows whether it has.
     Unknown {
-        /// Why it is not known.
+        /// Why the outcome is unknown.
         detail: String,
     },
 }
--- a/crates/bankvalve_cell/src/link/mod.rs
+++ b/crates/bankvalve_cell/src/link/mod.rs
@@ -1,4 +1,4 @@
-//! Links of an entry instance: to workers, to peers and to the platform's services.
+//! Messages that an entry instance exchanges with callers, workers, peers and the platform's services.
 
 mod caller_command;
 mod peer_message;
--- a/crates/bankvalve_cell/src/link/peer_message.rs
+++ b/crates/bankvalve_cell/src/link/peer_message.rs
@@ -1,7 +1,8 @@
-//! What entry instances say to each other.
+//! Messages between entry instances.
 //!
-//! The link drops, never repeats and never reorders messages between two
-//! lives of two instances; whatever must arrive is said again by its sender.
+//! The link may drop messages. It never duplicates or reorders the messages
+//! that one incarnation of an instance sends to one incarnation of another.
+//! A sender repeats the messages that must arrive.
 
 use serde::{Deserialize, Serialize};
 
@@ -14,104 +15,107 @@
 use crate::machine::TaskSize;
 use crate::refusal::RefusalReason;
 
-/// Why an exchange over a link has no answer.
+/// Reason why an exchange over a link has no answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum LinkFailure {
-    /// It was surely not sent.
+    /// The request is known not to have been sent.
     NotSent,
-    /// It may have been received.
+    /// No answer came, but the request may have been received.
     NoAnswer,
 }
 
 /// Whether a placement may start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PlaceGate {
-    /// Start as soon as there is room.
+    /// Start as soon as there is free capacity.
     Start,
-    /// Hold room for a gang, and start nothing yet.
+    /// Reserve capacity for a gang task, but do not start it yet.
     Hold,
 }
 
-/// A team owner's order to have an attempt placed in a worker partition.
+/// A placement order: a team partition's owner asks for an attempt to be placed in a worker partition.
 ///
-/// It is idempotent: saying it again asks what became of the attempt.
+/// The order is idempotent: the answer to a repeated order is the attempt's
+/// placement status.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PlaceOrder {
     /// The attempt.
     pub key: TaskKey,
-    /// What goes with it to the worker.
+    /// Properties of the task, which are passed on to the worker.
     pub label: TaskLabel,
-    /// Epoch of the team partition's owner.
+    /// Epoch of the team partition.
     pub team_epoch: Epoch,
-    /// Epoch of the worker partition that the intent was recorded for.
+    /// Epoch of the worker partition that the attempt's committed intent names.
     pub intent_epoch: Epoch,
-    /// Worker that the attempt is known to have been started on.
+    /// Worker on which the attempt is known to have started, if any.
     pub started_on: Option<WorkerName>,
-    /// Whether it may start.
+    /// Whether the attempt may start or only reserves capacity.
     pub gate: PlaceGate,
-    /// Where it may live; all must admit the worker.
+    /// Placement rules, all of which must admit the worker.
     pub rules: Vec<PlaceRule>,
-    /// Failure domain to prefer, for spreading.
+    /// Preferred failure domain, which spreads the tasks of a service.
     pub prefer_domain: Option<DomainName>,
-    /// Share that the team weighs in the queue.
+    /// Weight of the team in the order of the partition's queue.
     pub weight: u32,
     /// Expected run time in milliseconds, zero for services.
     pub run_time_ms: u64,
-    /// What to run.
+    /// What the worker runs.
     pub payload: String,
 }
 
-/// What a worker partition's owner knows of an attempt.
+/// Status of an attempt, as the worker partition's owner knows it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PlacementStatus {
-    /// It waits in the partition's queue; nothing was started.
+    /// The attempt waits in the partition's queue and has not been started.
     Queued,
-    /// Room is held for it; nothing was started.
+    /// Capacity is reserved for the attempt, which has not been started.
     Held,
-    /// It runs.
+    /// The attempt runs.
     Started {
-        /// Where.
+        /// Worker that it runs on.
         worker: WorkerName,
-        /// In which failure domain.
+        /// Failure domain of the worker.
         domain: DomainName,
-        /// In which rack.
+        /// Rack of the worker.
         rack: RackName,
-        /// Whether the worker is being emptied.
+        /// Whether the worker is draining or leaving.
         leaving: bool,
     },
-    /// It ended.
+    /// The attempt ran and has ended.
     Ended {
-        /// Where it ran.
+        /// Worker that it ran on.
         worker: WorkerName,
         /// How it ended.
         outcome: TaskOutcome,
-        /// Time that it ran, in milliseconds.
+        /// Run time in milliseconds.
         ran_ms: u64,
-        /// Largest usage seen.
+        /// Highest usage that was observed.
         peak: TaskSize,
     },
-    /// It runs nowhere in the partition and never will, but it may have run.
+    /// The attempt does not run in the partition and never will, but it may have run.
     Lost,
-    /// It runs nowhere in the partition and never did.
+    /// The attempt does not run in the partition, never ran there and never will.
     NotRun(RefusalReason),
-    /// Workers on which it may run have not been fenced yet.
+    /// Unknown for now: workers on which the attempt may run have not been fenced yet.
     Unfenced,
 }
 
-/// Room in the part of a worker partition that lies in one failure domain.
+/// Capacity of the workers of a partition that are in one failure domain and accept tasks.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CapacityGroup {
     /// The failure domain.
     pub domain: DomainName,
-    /// Workers that take new work.
+    /// Number of these workers.
     pub workers: u32,
-    /// Free room, summed, after what is queued.
+    /// Total free capacity of these workers. The sizes of all queued attempts of the partition are
+    /// subtracted from the first group of a digest.
     pub free: TaskSize,
-    /// Free room of the workers with the most, up to a few.
+    /// Free capacity of the few workers with the most of it, largest first.
     pub largest: Vec<TaskSize>,
-    /// Free room and room held by batch tasks together, of the workers with the most, up to a few.
+    /// Sum of free capacity and capacity used by preemptible batch tasks, of the few workers with the
+    /// most of it, largest first.
     pub preemptible: Vec<TaskSize>,
-    /// The distinct sizes that workers have in all.
+    /// The distinct total capacities of these workers, smallest first.
     pub classes: Vec<TaskSize>,
 }
 
@@ -128,20 +132,20 @@
     pub domain: DomainName,
 }
 
-/// Summary of a worker partition, for those who choose among partitions.
+/// Summary of a worker partition, used by team partition owners to choose a partition for a task.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PartitionDigest {
     /// The partition.
     pub partition: PartitionIndex,
-    /// Its owner's epoch.
+    /// Epoch of the partition.
     pub epoch: Epoch,
-    /// Counts the digests of this epoch.
+    /// Number of the digest within the epoch.
     pub sequence: u64,
-    /// Region that it lies in.
+    /// Region of the partition.
     pub region: RegionName,
-    /// Tasks waiting in its queue.
+    /// Number of attempts that wait in its queue.
     pub queued: u32,
-    /// Room by failure domain.
+    /// Capacity by failure domain.
     pub groups: Vec<CapacityGroup>,
 }
 
@@ -150,80 +154,80 @@
 pub struct PartitionEndpoints {
     /// The partition.
     pub partition: PartitionIndex,
-    /// Its owner's epoch.
+    /// Epoch of the partition.
     pub epoch: Epoch,
-    /// Counts the lists of this epoch.
+    /// Number of the list within the epoch.
     pub sequence: u64,
-    /// Region that it lies in.
+    /// Region of the partition.
     pub region: RegionName,
-    /// The tasks.
+    /// The running tasks.
     pub points: Vec<ServiceEndpoint>,
 }
 
 /// A message between two entry instances.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PeerMessage {
-    /// Says that the sender lives; the batch says which bundle it has in force.
+    /// Shows that the sender is running. The batch that carries it has the version of the sender's bundle.
     Heartbeat,
-    /// A partition has a new owner, or none.
+    /// A partition has a new owner or no owner. The receiver soon scans the table service.
     OwnerChanged,
     /// Summary of a worker partition.
     Digest(PartitionDigest),
     /// Running tasks of services in a worker partition.
     Points(PartitionEndpoints),
-    /// Order to place an attempt; goes to a worker partition's owner.
+    /// Order to a worker partition's owner to place an attempt.
     Place {
         /// The partition.
         partition: PartitionIndex,
-        /// Epoch that the sender believes the partition has.
+        /// Epoch of the partition, as far as the sender knows.
         epoch: Epoch,
         /// The order.
         order: Box<PlaceOrder>,
     },
-    /// Order to end an attempt: take it from the queue or stop it.
+    /// Order to a worker partition's owner to end an attempt: remove it from the queue or stop it.
     Withdraw {
         /// The partition.
         partition: PartitionIndex,
-        /// Epoch that the sender believes the partition has.
+        /// Epoch of the partition, as far as the sender knows.
         epoch: Epoch,
-        /// Epoch of the team partition's owner.
+        /// Epoch of the team partition.
         team_epoch: Epoch,
-        /// Team partition that asks.
+        /// Team partition that withdraws the attempt.
         team_partition: PartitionIndex,
-        /// Epoch of the worker partition that the intent was recorded for.
+        /// Epoch of the worker partition that the attempt's committed intent names.
         intent_epoch: Epoch,
-        /// Worker that the attempt is known to have been started on.
+        /// Worker on which the attempt is known to have started, if any.
         started_on: Option<WorkerName>,
         /// The attempt.
         key: TaskKey,
-        /// Outcome to report if it runs and is stopped.
+        /// Outcome to report if the attempt runs and is stopped.
         outcome: TaskOutcome,
-        /// Whether to leave it alone once it may have started.
+        /// Whether to withdraw the attempt only if it cannot have started yet.
         only_waiting: bool,
     },
-    /// What became of an attempt; goes to a team partition's owner.
+    /// Status of an attempt, sent to a team partition's owner.
     Status {
-        /// Team partition that it is meant for.
+        /// Team partition that the status is sent to.
         team_partition: PartitionIndex,
-        /// Worker partition that speaks.
+        /// Worker partition whose owner sends the status.
         partition: PartitionIndex,
-        /// Its epoch.
+        /// Epoch of the worker partition.
         epoch: Epoch,
         /// The attempt.
         key: TaskKey,
-        /// What became of it.
+        /// Its status.
         status: PlacementStatus,
     },
-    /// The end of an attempt is recorded; the worker may forget it.
+    /// The end of an attempt is committed to the ledger, so the worker may forget the attempt.
     EndRecorded {
-        /// Worker partition that reported it.
+        /// Worker partition that reported the end.
         partition: PartitionIndex,
         /// The attempt.
         key: TaskKey,
     },
-    /// A caller's command, for the owner of a team partition.
+    /// A caller's command, forwarded to the owner of a team partition.
     Forward {
-        /// Entry instance that the caller spoke to.
+        /// Entry instance that received the command from the caller.
         origin: InstanceName,
         /// Ticket at that instance.
         ticket: Ticket,
--- a/crates/bankvalve_cell/src/link/store_request.rs
+++ b/crates/bankvalve_cell/src/link/store_request.rs
@@ -1,27 +1,27 @@
-//! What bankvalve asks of the platform's table service and object store.
+//! Requests to the platform's table service and object store, and their outcomes.
 
 use serde::{Deserialize, Serialize};
 
 use crate::ids::RowVersion;
 
-/// A row as read.
+/// A row as read from the table service.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RowImage {
     /// Key of the row.
     pub key: String,
-    /// Version; each write raises it.
+    /// Version of the row, which increases with each write.
     pub version: RowVersion,
-    /// Content.
+    /// Content of the row.
     #[serde(with = "serde_bytes")]
     pub value: Vec<u8>,
 }
 
-/// A condition of a transaction: the row stands at this version.
+/// A condition of a transaction: the row is at this version.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RowCondition {
     /// Key of the row.
     pub key: String,
-    /// Version that it must stand at; zero means that it must be absent.
+    /// Version that the row must be at. Zero means that the row must not exist.
     pub version: RowVersion,
 }
 
@@ -30,29 +30,29 @@
 pub struct RowWrite {
     /// Key of the row.
     pub key: String,
-    /// New content; none deletes the row.
+    /// New content, or `None` to delete the row.
     #[serde(with = "serde_bytes")]
     pub value: Option<Vec<u8>>,
 }
 
-/// A transaction: all writes take effect if all conditions hold, else none.
+/// A transaction. If all conditions hold, all writes take effect; otherwise none does.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TableTransaction {
-    /// What must hold.
+    /// Conditions that must hold.
     pub conditions: Vec<RowCondition>,
-    /// What to write.
+    /// Rows to write or delete.
     pub writes: Vec<RowWrite>,
 }
 
 impl TableTransaction {
-    /// Adds the condition that a row stands at a version.
+    /// Adds the condition that a row is at a version.
     pub fn require(&mut self, key: impl Into<String>, version: RowVersion) -> &mut Self {
         let key = key.into();
         self.conditions.push(RowCondition { key, version });
         self
     }
 
-    /// Adds a write.
+    /// Adds a write of a row.
     pub fn put(&mut self, key: impl Into<String>, value: Vec<u8>) -> &mut Self {
         self.writes.push(RowWrite {
             key: key.into(),
@@ -61,7 +61,7 @@
         self
     }
 
-    /// Adds a deletion.
+    /// Adds a deletion of a row.
     pub fn delete(&mut self, key: impl Into<String>) -> &mut Self {
         self.writes.push(RowWrite {
             key: key.into(),
@@ -88,59 +88,59 @@
     },
 }
 
-/// What became of a request to the table service.
+/// Outcome of a request to the table service.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum StoreOutcome {
-    /// The transaction took effect; its rows now stand at this version.
+    /// The transaction took effect.
     Applied {
-        /// Version given to all rows that it wrote.
+        /// Version that all rows written by the transaction are at now.
         version: RowVersion,
     },
     /// A condition did not hold; nothing was written.
     Conflict {
-        /// Keys whose condition failed.
+        /// Keys of the rows whose conditions failed.
         keys: Vec<String>,
     },
     /// The rows read.
     Rows(Vec<RowImage>),
-    /// No answer: a write may have taken effect, or may yet.
+    /// No answer came: a write may have taken effect or may still do so.
     Lost,
-    /// Refused before it was looked at; nothing was written.
+    /// The service refused the request without processing it; nothing was written.
     Busy,
 }
 
 /// A request to the object store.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ObjectRequest {
-    /// Write an object; writing the same object again changes nothing.
+    /// Write an object. Writing the same object again changes nothing.
     Put {
-        /// Its name.
+        /// Name of the object.
         name: String,
-        /// Its content.
+        /// Content of the object.
         #[serde(with = "serde_bytes")]
         value: Vec<u8>,
     },
     /// Read an object.
     Get {
-        /// Its name.
+        /// Name of the object.
         name: String,
     },
-    /// Name all objects with a prefix, in order.
+    /// List the names of all objects that start with a prefix, in order.
     List {
         /// The prefix.
         prefix: String,
     },
 }
 
-/// What became of a request to the object store.
+/// Outcome of a request to the object store.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ObjectOutcome {
-    /// Written.
+    /// The object was written.
     Stored,
     /// Content of the object, if it exists.
     Content(#[serde(with = "serde_bytes")] Option<Vec<u8>>),
     /// Names of objects.
     Names(Vec<String>),
-    /// No answer, or an error.
+    /// No answer came, or the answer was an error.
     Failed,
 }
--- a/crates/bankvalve_cell/src/link/worker_exchange.rs
+++ b/crates/bankvalve_cell/src/link/worker_exchange.rs
@@ -1,7 +1,7 @@
-//! What an owner says to a worker and what the worker answers.
+//! Exchanges between the owner of a worker partition and its workers.
 //!
-//! This is the one place where the worker's contract is met. The promises
-//! that it rests on are listed in `docs/PLATFORM.md`.
+//! Only this module defines the messages of the worker's contract. The
+//! guarantees that the contract relies on are listed in `docs/PLATFORM.md`.
 
 use std::fmt;
 
@@ -16,18 +16,18 @@
 /// Identifies one attempt at running one task.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct TaskKey {
-    /// Team that the job belongs to; job ids are unique inside it.
+    /// Team that the job belongs to. Job ids are unique within a team.
     pub team: TeamName,
     /// Job that the task belongs to.
     pub job: JobId,
-    /// Index of the task inside the job.
+    /// Index of the task within the job.
     pub task: TaskIndex,
-    /// Attempt, from one.
+    /// Number of the attempt, starting at one.
     pub attempt: Attempt,
 }
 
 impl TaskKey {
-    /// The task that this is an attempt at.
+    /// Returns the id of the task that this attempt runs.
     pub fn id(&self) -> TaskId {
         TaskId {
             team: self.team.clone(),
@@ -47,19 +47,19 @@
     }
 }
 
-/// Identifies a task, whatever the attempt.
+/// Identifies a task across all of its attempts.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct TaskId {
     /// Team that the job belongs to.
     pub team: TeamName,
     /// Job that the task belongs to.
     pub job: JobId,
-    /// Index of the task inside the job.
+    /// Index of the task within the job.
     pub task: TaskIndex,
 }
 
 impl TaskId {
-    /// The key of an attempt at this task.
+    /// Returns the key of an attempt at this task.
     pub fn attempt(&self, attempt: Attempt) -> TaskKey {
         TaskKey {
             team: self.team.clone(),
@@ -70,49 +70,50 @@
     }
 }
 
-/// Token that orders everything said to one worker.
+/// Fencing token that orders all exchanges with one worker.
 ///
 /// The worker keeps the greatest token that it has seen and refuses smaller
-/// ones. The epoch comes first, so that a new owner outranks the old one.
+/// ones. Tokens compare by epoch first, so the tokens of a new owner are
+/// greater than all tokens of the previous owner.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct FenceToken {
-    /// Epoch of the worker partition's owner.
+    /// Epoch of the worker partition.
     pub epoch: Epoch,
-    /// Number of the exchange inside the epoch.
+    /// Number of the exchange within the epoch.
     pub sequence: u64,
 }
 
-/// What an owner needs to know again of a task that it finds on a worker.
+/// Properties of a task that the worker stores, so that a new owner learns them from its report.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TaskLabel {
     /// Team partition that holds the job.
     pub team_partition: PartitionIndex,
-    /// Room that is reserved for the task.
+    /// Resources that are reserved for the task.
     pub size: TaskSize,
     /// Service that the task serves, if any.
     pub service: Option<ServiceName>,
-    /// Whether the task may run again when it was lost.
+    /// Whether the task may run again after an attempt was lost.
     pub repeatable: bool,
-    /// Whether the task is urgent and so never preempted.
+    /// Whether the task is urgent. Urgent tasks are never preempted.
     pub urgent: bool,
     /// Whether the task belongs to a gang.
     pub gang: bool,
 }
 
-/// One thing that a worker is asked to do.
+/// A command to a worker.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum WorkerCommand {
-    /// Start a task; asking again for a task that is held changes nothing.
+    /// Start a task. Repeating the command for a task that the worker holds changes nothing.
     Start {
         /// The attempt.
         key: TaskKey,
-        /// What is known of it.
+        /// Properties of the task.
         label: TaskLabel,
         /// Declared run time in milliseconds, zero for services.
         run_time_ms: u64,
-        /// What to run.
+        /// What the worker runs.
         payload: String,
     },
     /// Save the task's progress.
@@ -120,7 +121,7 @@
         /// The attempt.
         key: TaskKey,
     },
-    /// Hold the task to a share of its declared processors.
+    /// Limit the task to a share of its declared processor time.
     Throttle {
         /// The attempt.
         key: TaskKey,
@@ -134,23 +135,23 @@
         /// Outcome to report for it.
         outcome: TaskOutcome,
     },
-    /// Forget a task that has ended, its outcome being recorded.
+    /// Forget a task that has ended and whose outcome is committed to the ledger.
     Forget {
         /// The attempt.
         key: TaskKey,
     },
 }
 
-/// One exchange with a worker: renews the leases of what it holds, and says what to do.
+/// One exchange with a worker: renews the leases of the tasks that it holds and carries commands.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WorkerExchange {
-    /// Token; smaller ones are refused from now on.
+    /// Token of the exchange. Once it has accepted this exchange, the worker refuses smaller tokens.
     pub token: FenceToken,
-    /// Life of the worker that the commands are meant for; none asks only.
+    /// Incarnation of the worker that the commands are for, or `None` to request only a report.
     pub incarnation: Option<Incarnation>,
-    /// End of the leases by the worker's clock; none renews nothing.
+    /// End of the leases on the worker's clock, or `None` to renew no lease.
     pub lease_until: Option<WorkerClock>,
-    /// What to do, in order.
+    /// Commands to run, in this order.
     pub commands: Vec<WorkerCommand>,
 }
 
@@ -158,24 +159,24 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum TaskOutcome {
-    /// It ran to its end.
+    /// It ran to completion.
     Succeeded,
     /// It ran and failed.
     Failed,
     /// It was stopped because its job was cancelled.
     Cancelled,
-    /// It was stopped to make room for urgent work or a drain.
+    /// It was stopped to free capacity for urgent tasks or to drain the worker.
     Preempted,
     /// It was stopped for using more memory than it declared.
     Overran,
-    /// Its lease ended before it was renewed.
+    /// Its lease expired before it was renewed.
     LeaseLapsed,
-    /// It may or may not have run to its end, and must not run again.
+    /// It may or may not have run to completion, and must not run again.
     Unknown,
 }
 
 impl TaskOutcome {
-    /// Name as shown to people and in the record.
+    /// Returns the name used in command output and in the archive.
     pub fn as_str(self) -> &'static str {
         match self {
             TaskOutcome::Succeeded => "succeeded",
@@ -194,7 +195,7 @@
 pub enum HeldPhase {
     /// It runs.
     Running,
-    /// It has ended and waits to be forgotten.
+    /// It has ended. The worker holds it until a `Forget` command.
     Ended(TaskOutcome),
 }
 
@@ -203,42 +204,42 @@
 pub struct HeldTask {
     /// The attempt.
     pub key: TaskKey,
-    /// What the owner that started it said of it.
+    /// Properties that the owner sent with the start command.
     pub label: TaskLabel,
     /// Its phase.
     pub phase: HeldPhase,
-    /// Usage, as last measured; it lags.
+    /// Latest measured usage, which lags behind the current usage.
     pub usage: TaskSize,
-    /// Time that it has run, in milliseconds.
+    /// Run time so far in milliseconds.
     pub ran_ms: u64,
 }
 
-/// A worker's answer: everything that it holds.
+/// A worker's answer to an exchange, with all tasks that it holds.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WorkerReport {
-    /// Token of the exchange that this answers.
+    /// Token of the exchange that the report answers.
     pub token: FenceToken,
-    /// The worker's life.
+    /// The worker's incarnation.
     pub incarnation: Incarnation,
-    /// Its clock, in milliseconds.
+    /// Reading of the worker's clock, in milliseconds.
     pub clock: WorkerClock,
-    /// Everything that it holds.
+    /// All tasks that it holds, running or ended.
     pub held: Vec<HeldTask>,
-    /// Requests in progress on it.
+    /// Number of requests that it is serving.
     pub slots_in_use: u32,
 }
 
-/// Why a worker did not take an exchange.
+/// Reason why a worker refused an exchange.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum WorkerRefusal {
-    /// It has seen a greater token.
+    /// The worker has seen a greater token.
     TokenPassed {
         /// The greatest token that it has seen.
         greatest: FenceToken,
     },
-    /// The commands were meant for an earlier life of it.
+    /// The commands are for another incarnation of the worker.
     OtherIncarnation,
-    /// The lease's end has already passed by its clock.
+    /// The requested lease end has already passed on the worker's clock.
     LeaseOver,
 }
--- a/crates/bankvalve_cell/src/machine/instance_detail.rs
+++ b/crates/bankvalve_cell/src/machine/instance_detail.rs
@@ -1,20 +1,20 @@
-//! Entry instances, as their settings and the instance list name them.
+//! Entry instances, as their settings and their rows in the table service describe them.
 
 use serde::{Deserialize, Serialize};
 
 use crate::ids::{DomainName, InstanceName, RegionName};
 
-/// An entry instance: its name, peer address and place.
+/// An entry instance: its name, peer address, location and weight.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct InstanceDetail {
-    /// Name, stable over restarts.
+    /// Name, which stays the same across restarts.
     pub name: InstanceName,
     /// Address of its peer listener, such as `10.0.1.4:7300`.
     pub peer_address: String,
-    /// Region that it stands in.
+    /// Region that the instance runs in.
     pub region: RegionName,
-    /// Failure domain that it stands in.
+    /// Failure domain that the instance runs in.
     pub domain: DomainName,
-    /// Share of partitions relative to its peers; 1 is usual.
+    /// Share of partitions relative to its peers, usually 1.
     pub weight: u32,
 }
--- a/crates/bankvalve_cell/src/machine/task_size.rs
+++ b/crates/bankvalve_cell/src/machine/task_size.rs
@@ -1,4 +1,4 @@
-//! Sizes of tasks and of the room that workers have for them.
+//! Resources that tasks need and capacity that workers have.
 
 use std::fmt;
 
@@ -31,14 +31,14 @@
 }
 
 impl TaskSize {
-    /// Tells whether this size fits into `room` in every dimension.
-    pub fn fits_in(self, room: TaskSize) -> bool {
-        self.millicores <= room.millicores
-            && self.memory_mib <= room.memory_mib
-            && self.accelerators <= room.accelerators
+    /// Returns whether this size fits into `capacity` in every dimension.
+    pub fn fits_in(self, capacity: TaskSize) -> bool {
+        self.millicores <= capacity.millicores
+            && self.memory_mib <= capacity.memory_mib
+            && self.accelerators <= capacity.accelerators
     }
 
-    /// Adds two sizes, saturating.
+    /// Adds two sizes. Saturates at the maximum in each dimension.
     pub fn plus(self, other: TaskSize) -> TaskSize {
         TaskSize {
             millicores: self.millicores.saturating_add(other.millicores),
@@ -47,7 +47,7 @@
         }
     }
 
-    /// Subtracts `other`, down to zero in each dimension.
+    /// Subtracts `other`. Saturates at zero in each dimension.
     pub fn minus(self, other: TaskSize) -> TaskSize {
         TaskSize {
             millicores: self.millicores.saturating_sub(other.millicores),
@@ -56,7 +56,7 @@
         }
     }
 
-    /// Multiplies by a count of tasks, saturating.
+    /// Multiplies by a number of tasks. Saturates at the maximum in each dimension.
     pub fn times(self, count: u32) -> TaskSize {
         TaskSize {
             millicores: self.millicores.saturating_mul(count),
@@ -65,7 +65,7 @@
         }
     }
 
-    /// Takes the larger value in each dimension.
+    /// Returns the larger value of each dimension.
     pub fn max(self, other: TaskSize) -> TaskSize {
         TaskSize {
             millicores: self.millicores.max(other.millicores),
@@ -74,15 +74,18 @@
         }
     }
 
-    /// How many tasks of size `task` fit here side by side.
+    /// Returns how many tasks of size `task` fit into this capacity at the same time.
     pub fn count_of(self, task: TaskSize) -> u32 {
-        let ratio = |room: u32, need: u32| room.checked_div(need).unwrap_or(u32::MAX);
+        let ratio = |capacity: u32, need: u32| capacity.checked_div(need).unwrap_or(u32::MAX);
         ratio(self.millicores, task.millicores)
             .min(ratio(self.memory_mib, task.memory_mib))
             .min(ratio(self.accelerators, task.accelerators))
     }
 
-    /// The largest share of `total` that this size takes in any dimension, from 0 to 1.
+    /// Returns the largest share of `total` that this size uses in any dimension.
+    ///
+    /// The share is from 0 to 1 if the size fits into `total`. A dimension in which `total` is zero
+    /// counts as 0.
     pub fn share_of(self, total: TaskSize) -> f64 {
         let ratio = |part: u32, whole: u32| {
             if whole == 0 {
--- a/crates/bankvalve_cell/src/machine/worker_detail.rs
+++ b/crates/bankvalve_cell/src/machine/worker_detail.rs
@@ -1,4 +1,4 @@
-//! Workers as the platform's instance list names them.
+//! Workers, as the platform's instance list describes them, and their partitions.
 
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::xxh3_64;
@@ -6,65 +6,65 @@
 use super::TaskSize;
 use crate::ids::{DomainName, PartitionIndex, RackName, RegionName, WorkerName};
 
-/// A worker: where it stands, how it is reached and what it can hold.
+/// A worker: its location, address and capacity.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WorkerDetail {
-    /// Name, stable over restarts.
+    /// Name, which stays the same across restarts.
     pub name: WorkerName,
     /// Base URL of its API, such as `http://10.0.3.7:7000`.
     pub address: String,
-    /// Region that it stands in.
+    /// Region that the worker is in.
     pub region: RegionName,
-    /// Failure domain that it stands in.
+    /// Failure domain that the worker is in.
     pub domain: DomainName,
-    /// Rack that it stands in.
+    /// Rack that the worker is in.
     pub rack: RackName,
-    /// Room for tasks.
+    /// Capacity for tasks.
     pub size: TaskSize,
-    /// Requests that it serves at once.
+    /// Maximum number of requests that it serves at the same time.
     pub slots: u32,
-    /// Connections that it accepts at once.
+    /// Maximum number of connections that it accepts at the same time.
     pub connections: u32,
 }
 
-/// What the instance list says of a machine.
+/// State of a machine in the instance list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ListState {
     /// In service.
     Live,
-    /// Leaving soon: gets no new work.
+    /// About to leave the cell; gets no new tasks.
     Leaving,
 }
 
-/// A worker and its state in the instance list.
+/// A worker as listed in the instance list.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ListedWorker {
     /// The worker.
     pub detail: WorkerDetail,
-    /// Its state.
+    /// Its state in the list.
     pub state: ListState,
 }
 
-/// How the cell is cut into partitions; the same on every entry instance.
+/// Division of the cell into partitions. It must be the same on every entry instance.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PartitionPlan {
-    /// Regions of the cell; their order counts.
+    /// Regions of the cell. Their order determines which worker partitions belong to each region.
     pub regions: Vec<RegionName>,
-    /// Worker partitions in each region.
+    /// Number of worker partitions in each region.
     pub worker_partitions_per_region: u32,
-    /// Team partitions in the cell.
+    /// Number of team partitions in the cell.
     pub team_partitions: u32,
 }
 
 impl PartitionPlan {
-    /// Number of worker partitions in the cell.
+    /// Returns the number of worker partitions in the cell.
     pub fn worker_partitions(&self) -> u32 {
         self.worker_partitions_per_region * self.regions.len() as u32
     }
 
-    /// The team partition that holds a team's jobs.
+    /// Returns the team partition that holds a team's jobs.
     ///
     /// # Examples
     ///
@@ -82,17 +82,17 @@
         (xxh3_64(team.as_bytes()) % u64::from(self.team_partitions.max(1))) as PartitionIndex
     }
 
-    /// The region that a worker partition lies in.
+    /// Returns the region of a worker partition, or `None` if the cell has no such partition.
     pub fn region_of(&self, partition: PartitionIndex) -> Option<&RegionName> {
         let per_region = self.worker_partitions_per_region.max(1);
         self.regions.get((partition / per_region) as usize)
     }
 }
 
-/// The worker partition that a worker belongs to, if its region is in the plan.
+/// Returns the worker partition that a worker belongs to, or `None` if its region is not in the plan.
 ///
-/// A fixed hash of the name spreads the workers of a rack over all
-/// partitions of the region, so that a rack's loss is shared out.
+/// A fixed hash of the name spreads the workers of a rack over all partitions
+/// of the region, so the loss of a rack affects each of them a little.
 pub fn worker_partition_of(plan: &PartitionPlan, detail: &WorkerDetail) -> Option<PartitionIndex> {
     let region = plan
         .regions
--- a/crates/bankvalve_cell/tests/properties.rs
+++ b/crates/bankvalve_cell/tests/properties.rs
@@ -1,4 +1,4 @@
-//! Properties that hold for all inputs, drawn with a fixed seed.
+//! Property tests, whose inputs are generated from a fixed seed.
 
 use std::collections::BTreeMap;
 
@@ -10,10 +10,10 @@
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 
-/// Cases of each property.
+/// Number of generated cases for each property.
 const CASES: u32 = 256;
 
-/// A runner that draws the same cases every time.
+/// Returns a test runner that generates the same cases in every run.
 fn runner() -> TestRunner {
     let config = Config {
         cases: CASES,
@@ -51,22 +51,23 @@
 #[test]
 fn owners_are_even_and_few_partitions_move() {
     let strategy = (2_usize..30, 1_u32..200, any::<prop::sample::Index>());
-    let property = |(count, total, gone): (usize, u32, prop::sample::Index)| {
+    let property = |(count, total, removed_index): (usize, u32, prop::sample::Index)| {
         let all = candidates(count);
         let keys = partitions(total);
         let before = assign_partitions(&keys, &all);
         prop_assert_eq!(before.len(), total as usize);
         let bound = (f64::from(total) * 1.4 / count as f64).ceil() as usize;
         prop_assert!(loads(&before).values().all(|load| *load <= bound.max(1)));
-        let mut left = all;
-        let lost = left.remove(gone.index(count));
-        let after = assign_partitions(&keys, &left);
-        let stayed = |key: &PartitionKey| before[key] == after[key];
+        let mut remaining = all;
+        let removed_instance = remaining.remove(removed_index.index(count));
+        let after = assign_partitions(&keys, &remaining);
+        let is_unchanged = |key: &PartitionKey| before[key] == after[key];
         let moved = before
             .iter()
-            .filter(|(key, owner)| **owner != lost.name && !stayed(key))
+            .filter(|(key, owner)| **owner != removed_instance.name && !is_unchanged(key))
             .count();
-        // What an instance leaves behind may push others over their bound.
+        // The partitions of the removed instance may fill other instances up to their load bound, which
+        // then moves further partitions.
         prop_assert!(moved <= total as usize / 4 + 1, "{} moved", moved);
         Ok(())
     };
@@ -105,8 +106,8 @@
         let Some((victims, _)) = chosen else {
             return Ok(());
         };
-        let freed = |left_out: Option<u32>| -> u32 {
-            let kept = victims.iter().filter(|id| Some(id.task) != left_out);
+        let freed = |excluded: Option<u32>| -> u32 {
+            let kept = victims.iter().filter(|id| Some(id.task) != excluded);
             kept.map(|id| running[id.task as usize].0).sum::<u32>() + free
         };
         prop_assert!(freed(None) >= need);
@@ -118,7 +119,7 @@
     runner().run(&strategy, property).unwrap();
 }
 
-/// A chain of batches, encoded.
+/// Returns an encoded hash chain of `count` ledger batches.
 fn chain(count: u64) -> Vec<Vec<u8>> {
     let mut previous = ChainHash::default();
     (1..=count)
@@ -152,21 +153,21 @@
         any::<prop::sample::Index>(),
         any::<prop::sample::Index>(),
     );
-    let property = |(count, place, byte): (u64, prop::sample::Index, prop::sample::Index)| {
-        let whole = chain(count);
+    let property = |(count, position, byte): (u64, prop::sample::Index, prop::sample::Index)| {
+        let complete = chain(count);
         let verify = |batches: &[Vec<u8>]| verify_chain(batches.iter().map(Vec::as_slice));
-        prop_assert_eq!(verify(&whole), Ok(count));
-        // The end of a chain is known from the head row, not from the chain.
-        let place = place.index(whole.len() - 1);
-        let mut removed = whole.clone();
-        removed.remove(place);
+        prop_assert_eq!(verify(&complete), Ok(count));
+        // Only the head row shows that the last batch of a chain is missing, so that batch stays in place.
+        let position = position.index(complete.len() - 1);
+        let mut removed = complete.clone();
+        removed.remove(position);
         prop_assert!(verify(&removed).is_err());
-        let mut altered = whole.clone();
-        let byte = byte.index(altered[place].len());
-        altered[place][byte] ^= 0x01;
+        let mut altered = complete.clone();
+        let byte = byte.index(altered[position].len());
+        altered[position][byte] ^= 0x01;
         prop_assert!(verify(&altered).is_err());
-        let mut swapped = whole;
-        swapped.swap(place, place + 1);
+        let mut swapped = complete;
+        swapped.swap(position, position + 1);
         prop_assert!(verify(&swapped).is_err());
         Ok(())
     };
