--- a/crates/bankvalve_cell/src/contract/mod.rs
+++ b/crates/bankvalve_cell/src/contract/mod.rs
@@ -6,4 +6,4 @@
 
 pub use cell_bundle::{CellBundle, TeamContract};
 pub use job_spec::{JobKind, JobSpec, PlaceRule, SpecProblem};
-pub use worker_lease::{WorkerLease, CLOCK_RATE_BOUND};
+pub use worker_lease::{WorkerClockReading, CLOCK_RATE_BOUND};
--- a/crates/bankvalve_cell/src/contract/worker_lease.rs
+++ b/crates/bankvalve_cell/src/contract/worker_lease.rs
@@ -16,16 +16,16 @@
 
 /// A clock reading that a worker reported, from which its owner computes lease ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct WorkerLease {
+pub struct WorkerClockReading {
     /// Reading of the worker's clock, in milliseconds.
     pub reading: WorkerClock,
     /// Time on the owner's clock at which the owner received the reading.
     pub received: CellTime,
 }
 
-impl WorkerLease {
+impl WorkerClockReading {
     /// Returns the end of a lease of this length, as a time on the worker's clock.
-    pub fn granted_until(&self, length: Duration) -> WorkerClock {
+    pub fn lease_end(&self, length: Duration) -> WorkerClock {
         self.reading + length.as_millis() as WorkerClock
     }
 
@@ -36,11 +36,11 @@
     ///
     /// ```
     /// use std::time::Duration;
-    /// use bankvalve_cell::contract::WorkerLease;
+    /// use bankvalve_cell::contract::WorkerClockReading;
     ///
-    /// let lease = WorkerLease { reading: 500, received: Duration::from_secs(10) };
+    /// let lease = WorkerClockReading { reading: 500, received: Duration::from_secs(10) };
     /// let length = Duration::from_secs(15);
-    /// assert_eq!(lease.granted_until(length), 15_500);
+    /// assert_eq!(lease.lease_end(length), 15_500);
     /// assert!(lease.expires_by(length) > Duration::from_secs(25));
     /// ```
     pub fn expires_by(&self, length: Duration) -> CellTime {
--- a/crates/bankvalve_cell/src/machine/task_size.rs
+++ b/crates/bankvalve_cell/src/machine/task_size.rs
@@ -75,7 +75,7 @@
     }
 
     /// Returns how many tasks of size `task` fit into this capacity at the same time.
-    pub fn count_of(self, task: TaskSize) -> u32 {
+    pub fn tasks_that_fit(self, task: TaskSize) -> u32 {
         let ratio = |capacity: u32, need: u32| capacity.checked_div(need).unwrap_or(u32::MAX);
         ratio(self.millicores, task.millicores)
             .min(ratio(self.memory_mib, task.memory_mib))
--- a/crates/bankvalve_cell/src/owner/team/commands.rs
+++ b/crates/bankvalve_cell/src/owner/team/commands.rs
@@ -332,7 +332,7 @@
         );
         return Err(Refusal::permanent(RefusalReason::CanNeverRun, detail));
     }
-    let hold = |worker: &&ListedWorker| worker.detail.size.count_of(spec.size);
+    let hold = |worker: &&ListedWorker| worker.detail.size.tasks_that_fit(spec.size);
     let at_once: u64 = admitted.iter().map(|worker| u64::from(hold(worker))).sum();
     let needed = if spec.is_gang() {
         u64::from(spec.task_count())
--- a/crates/bankvalve_cell/src/owner/worker/exchange.rs
+++ b/crates/bankvalve_cell/src/owner/worker/exchange.rs
@@ -3,7 +3,7 @@
 use super::placement_entry::{PlacementEntry, PlacementPhase};
 use super::worker_state::OpenExchange;
 use super::WorkerPartition;
-use crate::contract::WorkerLease;
+use crate::contract::WorkerClockReading;
 use crate::ids::WorkerName;
 use crate::link::{
     FenceToken, HeldPhase, HeldTask, LinkFailure, PlacementStatus, TaskId, TaskOutcome,
@@ -101,7 +101,7 @@
         let exchange = WorkerExchange {
             token,
             incarnation,
-            lease_until: lease.map(|lease| lease.granted_until(ctx.timings.worker_lease)),
+            lease_until: lease.map(|lease| lease.lease_end(ctx.timings.worker_lease)),
             commands,
         };
         ctx.push_action(OwnerAction::Exchange {
@@ -208,7 +208,7 @@
         worker_state.incarnation = Some(report.incarnation);
         worker_state.fenced = true;
         worker_state.declared_lost = false;
-        worker_state.lease = Some(WorkerLease {
+        worker_state.lease = Some(WorkerClockReading {
             reading: report.clock,
             received: ctx.now,
         });
--- a/crates/bankvalve_cell/src/owner/worker/worker_state.rs
+++ b/crates/bankvalve_cell/src/owner/worker/worker_state.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use crate::contract::WorkerLease;
+use crate::contract::WorkerClockReading;
 use crate::ids::{CellTime, Incarnation};
 use crate::link::{FenceToken, TaskOutcome};
 use crate::machine::{ListState, TaskSize, WorkerDetail};
@@ -77,7 +77,7 @@
     pub(super) reported_leaving: bool,
     pub(super) in_roster: bool,
     pub(super) incarnation: Option<Incarnation>,
-    pub(super) lease: Option<WorkerLease>,
+    pub(super) lease: Option<WorkerClockReading>,
     /// Whether the worker has answered under this owner's epoch, and so refuses older tokens.
     pub(super) fenced: bool,
     /// Whether its leases are known to have expired, and with them all tasks on it.
--- a/crates/bankvalve_cell/src/placement/partition_choice.rs
+++ b/crates/bankvalve_cell/src/placement/partition_choice.rs
@@ -234,7 +234,11 @@
 
 /// Tasks that the roomiest workers of a group hold side by side.
 fn room_for(group: &CapacityGroup, need: TaskSize) -> u32 {
-    group.largest.iter().map(|room| room.count_of(need)).sum()
+    group
+        .largest
+        .iter()
+        .map(|room| room.tasks_that_fit(need))
+        .sum()
 }
 
 fn choice_of(digest: &PartitionDigest, group: &CapacityGroup, choices: usize) -> PartitionChoice {
