--- a/crates/bankvalve_cell/src/contract/mod.rs
+++ b/crates/bankvalve_cell/src/contract/mod.rs
@@ -1,4 +1,4 @@
-//! Contracts of a cell: jobs, the bundle that governs them, and leases.
+//! Contracts of a cell: jobs, the configuration bundle, and worker leases.
 
 mod cell_bundle;
 mod job_spec;
@@ -6,4 +6,4 @@
 
 pub use cell_bundle::{CellBundle, TeamContract};
 pub use job_spec::{JobKind, JobSpec, PlaceRule, SpecProblem};
-pub use worker_lease::{WorkerLease, CLOCK_RATE_BOUND};
+pub use worker_lease::{WorkerClockReading, CLOCK_RATE_BOUND};
--- a/crates/bankvalve_cell/src/owner/team/commands.rs
+++ b/crates/bankvalve_cell/src/owner/team/commands.rs
@@ -337,7 +337,7 @@
         );
         return Err(Refusal::permanent(RefusalReason::CanNeverRun, detail));
     }
-    let task_capacity = |worker: &&ListedWorker| worker.detail.size.count_of(spec.size);
+    let task_capacity = |worker: &&ListedWorker| worker.detail.size.tasks_that_fit(spec.size);
     let at_once: u64 = admitted
         .iter()
         .map(|worker| u64::from(task_capacity(worker)))
--- a/crates/bankvalve_cell/src/placement/partition_choice.rs
+++ b/crates/bankvalve_cell/src/placement/partition_choice.rs
@@ -244,7 +244,7 @@
     group
         .largest
         .iter()
-        .map(|capacity| capacity.count_of(need))
+        .map(|capacity| capacity.tasks_that_fit(need))
         .sum()
 }
 
