--- a/crates/bankvalve/tests/site/leaving.rs
+++ b/crates/bankvalve/tests/site/leaving.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use bankvalve_platform::counterpart;
-use bankvalve_standin::site::StoreTrouble;
+use bankvalve_standin::site::StoreFault;
 use nix::sys::signal::Signal;
 
 use crate::entry_child::ListenPlan;
@@ -28,7 +28,7 @@
     }
     wait_until("an instance leads", || site.leader().is_some());
     let leader = site.leader().expect("an instance leads");
-    site.platform.set_trouble(StoreTrouble::Silent);
+    site.platform.set_store_fault(StoreFault::Silent);
     let spec = Arc::new(job_of(1, "work=50", &[1]));
     let call = counterpart::write_request(&site.rule, &submission(&spec), None);
     let mut caller = TcpStream::connect(site.entry(leader).plan().callers).expect("a connection");
@@ -42,7 +42,7 @@
     site.entry(leader).wait_for_line("accept");
     // It leaves while the table is silent, so that there is no answer yet.
     drop(caller);
-    site.platform.set_trouble(StoreTrouble::None);
+    site.platform.set_store_fault(StoreFault::None);
     site.submit(job_of(2, "work=50", &[1]));
     site.wait_for_success(leader, 2..=2);
     let begun = Instant::now();
--- a/crates/bankvalve/tests/site/trouble.rs
+++ b/crates/bankvalve/tests/site/trouble.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use bankvalve_queue::{WireCall, WireReply};
-use bankvalve_standin::site::StoreTrouble;
+use bankvalve_standin::site::StoreFault;
 
 use crate::test_site::{
     assert_once, done_tasks, exchange_whole, job_of, submission, wait_until, TestSite, LONGEST,
@@ -13,7 +13,7 @@
 fn while_the_table_turns_all_away_jobs_are_refused_with_a_time_to_come_back() {
     let site = TestSite::start(2, 3);
     site.submit(job_of(1, "work=50", &[1]));
-    site.platform.set_trouble(StoreTrouble::Refuses);
+    site.platform.set_store_fault(StoreFault::Refuses);
     let refused = Arc::new(job_of(2, "work=50", &[1]));
     let call =
         bankvalve_platform::counterpart::write_request(&site.rule, &submission(&refused), None);
@@ -32,7 +32,7 @@
         })
     };
     wait_until("the refusal is counted", || counted(0) || counted(1));
-    site.platform.set_trouble(StoreTrouble::None);
+    site.platform.set_store_fault(StoreFault::None);
     site.submit(job_of(3, "work=50", &[2]));
     site.wait_for_success(1, 3..=3);
     assert!(site
@@ -46,7 +46,7 @@
 fn writes_whose_answers_are_lost_are_done_once() {
     let site = TestSite::start(2, 3);
     site.submit(job_of(1, "work=50", &[1]));
-    site.platform.set_trouble(StoreTrouble::LosesAnswers);
+    site.platform.set_store_fault(StoreFault::LosesAnswers);
     let spec = Arc::new(job_of(2, "work=50", &[2]));
     let reply = site.ask(0, &submission(&spec));
     // It is said that it is not known, unless a copy of the write showed that it was done.
@@ -60,7 +60,7 @@
         ),
         "{reply:?}"
     );
-    site.platform.set_trouble(StoreTrouble::None);
+    site.platform.set_store_fault(StoreFault::None);
     site.submit(job_of(2, "work=50", &[2]));
     site.wait_for_success(0, 1..=2);
     let runs = site.platform.runs();
@@ -76,7 +76,7 @@
     assert!(site.platform.wait_for_runs(LONGEST, begun));
     let first = site.platform.runs()[0].clone();
     // Its task would end well if it were not for the hold, which nobody prolongs.
-    site.platform.silence_worker(&first.worker, true);
+    site.platform.set_worker_silent(&first.worker, true);
     let again = |runs: &[bankvalve_standin::site::SeenRun]| {
         runs.iter()
             .any(|run| run.worker != first.worker && run.ended.is_some())
@@ -119,10 +119,10 @@
     };
     let ask = || exchange_whole(site.entry(0).plan().callers, &elsewhere).expect("an answer");
     assert_eq!(ask().0, 404);
-    site.platform.set_trouble(StoreTrouble::Refuses);
+    site.platform.set_store_fault(StoreFault::Refuses);
     let (status, head, _) = ask();
     assert_eq!(status, 503);
     assert!(head.contains("retry-after"), "{head}");
-    site.platform.set_trouble(StoreTrouble::None);
+    site.platform.set_store_fault(StoreFault::None);
     wait_until("it is known not to be there", || ask().0 == 404);
 }
--- a/crates/bankvalve_check/src/measure/measure_run.rs
+++ b/crates/bankvalve_check/src/measure/measure_run.rs
@@ -129,7 +129,7 @@
     let mut all = TaskSize::default();
     let mut running = 0;
     for slot in world.platform.workers.values() {
-        used = used.plus(slot.model.room_in_use());
+        used = used.plus(slot.model.resources_in_use());
         all = all.plus(slot.model.detail.size);
         running += slot.model.running_count();
     }
--- a/crates/bankvalve_check/src/site/site_crashes.rs
+++ b/crates/bankvalve_check/src/site/site_crashes.rs
@@ -163,7 +163,7 @@
     /// Another writer writes an entry of which no worker can be made.
     pub fn spoil_entry(&mut self, id: &WorkerId) {
         self.lasting.trouble(self.now_ms);
-        self.store.spoil_worker(id);
+        self.store.write_unusable_worker(id);
         self.answer_watches();
     }
 
--- a/crates/bankvalve_check/src/site/site_lasting.rs
+++ b/crates/bankvalve_check/src/site/site_lasting.rs
@@ -298,7 +298,7 @@
         // A hold that ran out is noticed late.
         let lapsed = |held: &&SiteWorker| how == EndKind::Lapsed && held.id == *worker;
         let held = self.workers.values().flatten().find(lapsed);
-        let ended = held.map_or(now, |held| held.held_until_ms().min(now));
+        let ended = held.map_or(now, |held| held.lease_expiry_ms().min(now));
         let watched = self.lasting.tasks.entry(task).or_default();
         watched.live.remove(&(worker.clone(), run));
         if how == EndKind::Done {
--- a/crates/bankvalve_check/src/site/site_lives.rs
+++ b/crates/bankvalve_check/src/site/site_lives.rs
@@ -25,7 +25,7 @@
         node.started_ms = now;
         let mut settings = EntrySettings::example(node.address);
         settings.life = WALL_START + now + node.life;
-        settings.hold_limit = Duration::from_millis(self.hold_limit_ms);
+        settings.hold_limit = Duration::from_millis(self.max_lease_ms);
         settings.broken = self.plan.broken;
         settings.without = self.plan.without;
         if let Some(strength) = self.plan.strengths.get(number) {
--- a/crates/bankvalve_check/src/site/site_random.rs
+++ b/crates/bankvalve_check/src/site/site_random.rs
@@ -257,7 +257,7 @@
     };
     let mut restarts = (burden == SiteBurden::Restarts).then(|| DrawnRestarts::new(seed, FIRST_MS));
     let mut losses = (burden == SiteBurden::Losses).then(|| DrawnLosses::new(seed, FIRST_LOSS_MS));
-    let (troubled_ms, hold_limit_ms, pace) = match losses {
+    let (troubled_ms, max_lease_ms, pace) = match losses {
         Some(_) => (
             DrawnLosses::troubled_ms(FIRST_LOSS_MS),
             USERS_HOLD_MS,
@@ -274,7 +274,7 @@
         without: None,
         good_percent: (seed % 2 == 0).then_some(85),
     };
-    let mut world = SiteWorld::with_hold_limit(plan, hold_limit_ms);
+    let mut world = SiteWorld::with_hold_limit(plan, max_lease_ms);
     world.callers_leave = true;
     burden.lay(&mut world);
     if large {
--- a/crates/bankvalve_check/src/site/site_restarts.rs
+++ b/crates/bankvalve_check/src/site/site_restarts.rs
@@ -159,7 +159,7 @@
         // Offsets are added to the true time, so that a clock may begin with anything.
         let offset = restart.clock_ms;
         let mut worker = SiteWorker::restarted(id.clone(), entry, self.now_ms, offset);
-        worker.hold_limit_ms = self.hold_limit_ms;
+        worker.max_lease_ms = self.max_lease_ms;
         worker.process = self.next_process();
         self.restarts.waiting.insert(id.clone(), self.now_ms);
         self.workers.insert(address.clone(), Some(worker));
--- a/crates/bankvalve_check/src/site/site_workers.rs
+++ b/crates/bankvalve_check/src/site/site_workers.rs
@@ -4,7 +4,7 @@
     ConnectionId, CoreEvent, EndKind, ProcessStart, StartRefusal, StepKey, TaskKey, TaskSize,
     Ticket, WorkerAnswer, WorkerCall, WorkerEntry, WorkerId,
 };
-use bankvalve_standin::site::{SiteWorker, WorkerNews};
+use bankvalve_standin::site::{SiteWorker, WorkerEvent};
 use rand::Rng;
 
 use super::site_jobs::plan_of;
@@ -68,7 +68,7 @@
         self.worker_off_table_until.remove(&address);
         self.worker_reached_by.remove(&address);
         let mut worker = SiteWorker::new(id, entry, offset);
-        worker.hold_limit_ms = self.hold_limit_ms;
+        worker.max_lease_ms = self.max_lease_ms;
         worker.process = self.next_process();
         self.workers.insert(address, Some(worker));
         self.answer_watches();
@@ -313,11 +313,11 @@
             return;
         };
         worker.run_until(now);
-        let news = worker.take_news();
+        let news = worker.take_events();
         let id = worker.id.clone();
         let used = worker.used();
         let room = worker.entry.room;
-        let started = |news: &WorkerNews| matches!(news, WorkerNews::Started(..));
+        let started = |news: &WorkerEvent| matches!(news, WorkerEvent::Started(..));
         // What runs stays where the room has shrunk; a start must not come on top of it.
         let judged = !self.old_rooms.contains_key(&id) || news.iter().any(started);
         if judged && !self.may_hold(&id, &used, &room) {
@@ -341,8 +341,8 @@
             self.after(next - now, Later::WorkerTime { address });
         }
         for entry in news {
-            self.take_news(&id, &entry);
-            if let WorkerNews::Started(task, run) = entry {
+            self.take_events(&id, &entry);
+            if let WorkerEvent::Started(task, run) = entry {
                 self.watch_for_crash(address, task, run);
             }
         }
@@ -351,10 +351,10 @@
         }
     }
 
-    pub(super) fn take_news(&mut self, id: &WorkerId, news: &WorkerNews) {
+    pub(super) fn take_events(&mut self, id: &WorkerId, news: &WorkerEvent) {
         let now = self.now_ms;
         match *news {
-            WorkerNews::Started(task, run) => {
+            WorkerEvent::Started(task, run) => {
                 self.bring_up_to_date(id, task);
                 self.rules.started(id, task, run, now);
                 self.restarts.note_start(id, now);
@@ -363,12 +363,12 @@
                 self.check_customer_limit(task);
                 self.gang_news(task.step, run, None);
             }
-            WorkerNews::Ended(task, run, how) => {
+            WorkerEvent::Ended(task, run, how) => {
                 self.rules.ended(id, task, run, how, now);
                 self.lasting_ended(id, task, run, how);
                 self.gang_news(task.step, run, Some(how));
             }
-            WorkerNews::Kept(task, _, how) => self.rules.kept(task, how, now),
+            WorkerEvent::Kept(task, _, how) => self.rules.kept(task, how, now),
         }
     }
 
--- a/crates/bankvalve_check/src/site/site_world.rs
+++ b/crates/bankvalve_check/src/site/site_world.rs
@@ -157,7 +157,7 @@
 pub struct SiteWorld {
     pub(super) plan: SitePlan,
     /// Longest hold that the platform allows, in milliseconds.
-    pub(super) hold_limit_ms: u64,
+    pub(super) max_lease_ms: u64,
     /// Draws all that is left to chance.
     pub rng: Pcg64Mcg,
     /// Virtual time in milliseconds.
@@ -296,7 +296,7 @@
     }
 
     /// The same, with another longest hold than the usual one, in milliseconds.
-    pub fn with_hold_limit(plan: SitePlan, hold_limit_ms: u64) -> Self {
+    pub fn with_hold_limit(plan: SitePlan, max_lease_ms: u64) -> Self {
         let rng = Pcg64Mcg::seed_from_u64(plan.seed);
         let policy = plan.good_percent.map(|good_percent| SitePolicy {
             good_percent,
@@ -368,7 +368,7 @@
             waiting_looks: BTreeMap::new(),
             costs: None,
             answers: Vec::new(),
-            hold_limit_ms,
+            max_lease_ms,
             lines: None,
             plan,
         };
--- a/crates/bankvalve_standin/src/model/worker_model.rs
+++ b/crates/bankvalve_standin/src/model/worker_model.rs
@@ -197,7 +197,7 @@
     }
 
     /// Room that the running tasks' labels take.
-    pub fn room_in_use(&self) -> TaskSize {
+    pub fn resources_in_use(&self) -> TaskSize {
         self.running().fold(TaskSize::default(), |sum, (_, run)| {
             sum.plus(run.label.size)
         })
@@ -288,7 +288,7 @@
             outcome: None,
         });
         self.runs.insert(key.clone(), run);
-        let used = self.room_in_use();
+        let used = self.resources_in_use();
         if !used.fits_in(self.detail.size) {
             self.overfull = Some(self.overfull.unwrap_or_default().max(used));
         }
--- a/crates/bankvalve_standin/src/site/mod.rs
+++ b/crates/bankvalve_standin/src/site/mod.rs
@@ -6,7 +6,7 @@
 mod site_store;
 mod site_worker;
 
-pub use site_platform::{SeenRun, SitePlatform, StoreTrouble};
+pub use site_platform::{SeenRun, SitePlatform, StoreFault};
 pub use site_policy::SitePolicy;
 pub use site_store::SiteStore;
-pub use site_worker::{SiteRun, SiteWorker, WorkerNews};
+pub use site_worker::{SiteRun, SiteWorker, WorkerEvent};
--- a/crates/bankvalve_standin/src/site/site_platform.rs
+++ b/crates/bankvalve_standin/src/site/site_platform.rs
@@ -12,7 +12,7 @@
     TaskSize, WireAnswer, WorkerAnswer, WorkerCall, WorkerEntry, WorkerId,
 };
 
-use super::{SitePolicy, SiteStore, SiteWorker, WorkerNews};
+use super::{SitePolicy, SiteStore, SiteWorker, WorkerEvent};
 
 /// Time between two looks at whether a call that waits has its answer.
 const LOOK: Duration = Duration::from_millis(4);
@@ -25,7 +25,7 @@
 
 /// What ails the table.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum StoreTrouble {
+pub enum StoreFault {
     /// Nothing.
     #[default]
     None,
@@ -57,7 +57,7 @@
     store: SiteStore,
     workers: BTreeMap<WorkerId, SiteWorker>,
     policy: Option<SitePolicy>,
-    trouble: StoreTrouble,
+    trouble: StoreFault,
     silent_workers: BTreeSet<WorkerId>,
     runs: Vec<SeenRun>,
 }
@@ -69,16 +69,16 @@
             return;
         };
         worker.run_until(now_ms);
-        for news in worker.take_news() {
+        for news in worker.take_events() {
             match news {
-                WorkerNews::Started(task, run) => self.runs.push(SeenRun {
+                WorkerEvent::Started(task, run) => self.runs.push(SeenRun {
                     task,
                     run,
                     worker: id.clone(),
                     began_ms: now_ms,
                     ended: None,
                 }),
-                WorkerNews::Ended(task, run, how) => {
+                WorkerEvent::Ended(task, run, how) => {
                     let same = |seen: &&mut SeenRun| {
                         seen.task == task && seen.run == run && seen.worker == *id
                     };
@@ -86,7 +86,7 @@
                         seen.ended = Some((now_ms, how));
                     }
                 }
-                WorkerNews::Kept(..) => {}
+                WorkerEvent::Kept(..) => {}
             }
         }
     }
@@ -197,12 +197,12 @@
     }
 
     /// Sets what ails the table.
-    pub fn set_trouble(&self, trouble: StoreTrouble) {
+    pub fn set_store_fault(&self, trouble: StoreFault) {
         self.shared.lock().trouble = trouble;
     }
 
     /// Lets a worker leave all calls unanswered, or answer again; its runs go on.
-    pub fn silence_worker(&self, id: &WorkerId, silent: bool) {
+    pub fn set_worker_silent(&self, id: &WorkerId, silent: bool) {
         let mut state = self.shared.lock();
         if silent {
             state.silent_workers.insert(id.clone());
@@ -283,10 +283,10 @@
         let outcome = {
             let mut state = shared.lock();
             match state.trouble {
-                StoreTrouble::Silent => Some(StoreOutcome::Lost),
-                StoreTrouble::Refuses => Some(StoreOutcome::Busy),
-                StoreTrouble::None => state.store.handle(request),
-                StoreTrouble::LosesAnswers => {
+                StoreFault::Silent => Some(StoreOutcome::Lost),
+                StoreFault::Refuses => Some(StoreOutcome::Busy),
+                StoreFault::None => state.store.handle(request),
+                StoreFault::LosesAnswers => {
                     let outcome = state.store.handle(request);
                     let writes = matches!(request, StoreRequest::Transact { .. });
                     if writes {
--- a/crates/bankvalve_standin/src/site/site_store.rs
+++ b/crates/bankvalve_standin/src/site/site_store.rs
@@ -125,7 +125,7 @@
     }
 
     /// Another writer writes an entry of which no worker can be made.
-    pub fn spoil_worker(&mut self, id: &WorkerId) {
+    pub fn write_unusable_worker(&mut self, id: &WorkerId) {
         self.tell_of_worker(id, WorkerRow::Unusable("written by another program"));
     }
 
--- a/crates/bankvalve_standin/src/site/site_worker.rs
+++ b/crates/bankvalve_standin/src/site/site_worker.rs
@@ -41,7 +41,7 @@
 
 /// What happened on a worker.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum WorkerNews {
+pub enum WorkerEvent {
     /// A run began.
     Started(TaskKey, RunId),
     /// A run ended.
@@ -64,7 +64,7 @@
     /// Time at which its clock began with the offset, in milliseconds.
     clock_base_ms: u64,
     /// Longest hold that it grants, in milliseconds.
-    pub hold_limit_ms: u64,
+    pub max_lease_ms: u64,
     token: FenceToken,
     until: u64,
     runs: BTreeMap<TaskKey, SiteRun>,
@@ -76,7 +76,7 @@
     lapsed: u64,
     /// Runs that its list names and that it does not have, as another program's would.
     pub also_listed: Vec<RunReport>,
-    news: Vec<WorkerNews>,
+    news: Vec<WorkerEvent>,
 }
 
 impl SiteWorker {
@@ -88,7 +88,7 @@
             process: 0,
             clock_offset_ms,
             clock_base_ms: 0,
-            hold_limit_ms: HOLD_LIMIT_MS,
+            max_lease_ms: HOLD_LIMIT_MS,
             token: 0,
             until: 0,
             runs: BTreeMap::new(),
@@ -176,7 +176,7 @@
                             began: clock,
                         };
                         self.runs.insert(order.task, run);
-                        self.news.push(WorkerNews::Started(order.task, order.run));
+                        self.news.push(WorkerEvent::Started(order.task, order.run));
                     }
                 }
             }
@@ -203,7 +203,7 @@
     }
 
     fn prolong(&mut self, until: u64, clock: u64) {
-        self.until = self.until.max(until.min(clock + self.hold_limit_ms));
+        self.until = self.until.max(until.min(clock + self.max_lease_ms));
     }
 
     fn keep(&mut self, kept: u64) {
@@ -211,7 +211,7 @@
         // An end that the worker's hold outlived only in part does not count as noted.
         let noted = |end: &&EndReport| end.number <= kept && end.number > self.lapsed;
         for end in self.ends.iter().filter(noted) {
-            let news = WorkerNews::Kept(end.task, end.run, end.how);
+            let news = WorkerEvent::Kept(end.task, end.run, end.how);
             self.news.push(news);
         }
         self.ends.retain(|end| end.number > kept);
@@ -273,7 +273,7 @@
             saved: String::new(),
         });
         self.next_end += 1;
-        self.news.push(WorkerNews::Ended(task, run.run, how));
+        self.news.push(WorkerEvent::Ended(task, run.run, how));
     }
 
     /// Lets a gang's member begin its work.
@@ -301,12 +301,12 @@
     }
 
     /// Takes what happened since the last time.
-    pub fn take_news(&mut self) -> Vec<WorkerNews> {
+    pub fn take_events(&mut self) -> Vec<WorkerEvent> {
         std::mem::take(&mut self.news)
     }
 
     /// Time on the caller's clock at which its hold is over, in milliseconds.
-    pub fn held_until_ms(&self) -> u64 {
+    pub fn lease_expiry_ms(&self) -> u64 {
         self.time_of(self.until)
     }
 
