--- a/crates/bankvalve_standin/src/http/fault_settings.rs
+++ b/crates/bankvalve_standin/src/http/fault_settings.rs
@@ -1,4 +1,4 @@
-//! Faults that a person or a test turns on.
+//! Faults that an operator or a test can inject.
 
 use std::collections::BTreeMap;
 
@@ -8,11 +8,11 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct WorkerFault {
-    /// Everything that it starts fails at once.
+    /// Tasks that the worker runs fail at once, and its services answer with status 500.
     pub fails_all: bool,
-    /// It does not answer, though its tasks run on until their leases end.
+    /// The worker does not answer, but its tasks keep running until their leases expire.
     pub cut_off: bool,
-    /// Factor by which run and service times grow; zero counts as one.
+    /// Factor by which run and service times increase; values below 1, such as the default 0, count as 1.
     pub slowness: f64,
 }
 
@@ -29,16 +29,16 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct FaultSettings {
-    /// The table service answers nothing and does nothing.
+    /// The table service neither applies nor answers requests.
     pub table_outage: bool,
-    /// One-way delay to the table service in milliseconds, besides the plan's.
+    /// One-way delay to the table service in milliseconds, in addition to the delay of the plan.
     pub table_delay_ms: u64,
-    /// Share of writes that take effect though their answer is lost.
+    /// Fraction of writes, from 0 to 1, that are applied but whose answers are lost.
     pub lose_answers: f64,
-    /// The object store answers nothing.
+    /// The object store answers every request with status 503.
     pub object_outage: bool,
-    /// The instance list no longer changes.
+    /// Changes to the instance list do not become visible.
     pub list_frozen: bool,
-    /// Faults by worker.
+    /// Faults of single workers, by worker name.
     pub workers: BTreeMap<String, WorkerFault>,
 }
--- a/crates/bankvalve_standin/src/http/mod.rs
+++ b/crates/bankvalve_standin/src/http/mod.rs
@@ -1,4 +1,4 @@
-//! The platform's services over HTTP, on one listener.
+//! HTTP server that offers the services of the stand-in platform on one listener.
 
 mod fault_settings;
 mod platform_standin;
--- a/crates/bankvalve_standin/src/http/platform_standin.rs
+++ b/crates/bankvalve_standin/src/http/platform_standin.rs
@@ -1,4 +1,4 @@
-//! A server that plays the platform.
+//! HTTP server that simulates the platform.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::net::{SocketAddr, TcpListener};
@@ -20,20 +20,20 @@
 use super::{FaultSettings, StandinPlan};
 use crate::model::{ObjectModel, RequestRefusal, TableModel, WorkerModel};
 
-/// Time that an unanswered request is held before its connection is closed.
-const SILENT_TIME: Duration = Duration::from_secs(30);
-/// Service time of a request that names none, in milliseconds.
-const SERVICE_MS: u64 = 5;
-/// Requests that a rate cap saves up, in seconds of its rate.
-const BURST_SECONDS: f64 = 0.5;
-/// Content type of JSON.
+/// Time for which a fault leaves a request without an answer.
+const UNANSWERED_TIME: Duration = Duration::from_secs(30);
+/// Service time of a request without a `work-ms` header, in milliseconds.
+const DEFAULT_SERVICE_MS: u64 = 5;
+/// Capacity of the token bucket of a rate limit, in seconds of its rate.
+const MAX_BURST_SECONDS: f64 = 0.5;
+/// Content type of JSON answers.
 const JSON: &str = "application/json";
 
-/// A rate cap.
+/// Token bucket that limits the requests per second.
 #[derive(Debug)]
 struct RateCap {
     rate: f64,
-    saved: f64,
+    tokens: f64,
     at: Instant,
 }
 
@@ -41,25 +41,25 @@
     fn new(rate: f64) -> Self {
         Self {
             rate,
-            saved: rate * BURST_SECONDS,
+            tokens: rate * MAX_BURST_SECONDS,
             at: Instant::now(),
         }
     }
 
-    fn admits(&mut self) -> bool {
+    fn try_admit(&mut self) -> bool {
         let now = Instant::now();
         let gained = now.duration_since(self.at).as_secs_f64() * self.rate;
         self.at = now;
-        self.saved = (self.saved + gained).min(self.rate * BURST_SECONDS);
-        if self.saved < 1.0 {
+        self.tokens = (self.tokens + gained).min(self.rate * MAX_BURST_SECONDS);
+        if self.tokens < 1.0 {
             return false;
         }
-        self.saved -= 1.0;
+        self.tokens -= 1.0;
         true
     }
 }
 
-/// A run of an attempt, as a test or a person reads it.
+/// A run of an attempt, as listed under `/runs`.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(super) struct RunView {
     worker: String,
@@ -71,16 +71,16 @@
     memory_mib: u32,
 }
 
-/// A service's answer to a request.
+/// JSON answer of a service to a request.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ServiceAnswer {
-    /// Worker that served it.
+    /// Worker that served the request.
     pub worker: String,
-    /// Task that served it.
+    /// Task that served the request.
     pub task: TaskKey,
-    /// Id of the request that this answers.
+    /// Id of the request, from its `bankvalve-request` header.
     pub id: String,
-    /// The request's body, as text.
+    /// Body of the request, as text.
     pub echo: String,
 }
 
@@ -90,8 +90,8 @@
     objects: ObjectModel,
     workers: BTreeMap<String, WorkerModel>,
     listed: BTreeMap<String, ListState>,
-    /// Changes of the list that do not show yet.
-    unseen: VecDeque<(Instant, String, Option<ListState>)>,
+    /// Changes to the instance list that are not visible yet, and when each becomes visible.
+    pending_changes: VecDeque<(Instant, String, Option<ListState>)>,
     faults: FaultSettings,
     writes: RateCap,
     reads: RateCap,
@@ -106,10 +106,10 @@
     list_lag: Duration,
 }
 
-/// A running stand-in; dropping it stops it.
+/// A running stand-in of the platform. Dropping it stops the server.
 ///
 /// Serves `/table`, `/objects`, `/list`, `/workers/…`, `/faults`, `/runs`
-/// and `/stats`; docs/PLATFORM.md describes each.
+/// and `/stats`; docs/PLATFORM.md describes them.
 #[derive(Debug)]
 pub struct PlatformStandin {
     server: HttpServer,
@@ -150,7 +150,7 @@
             objects: ObjectModel::default(),
             workers,
             listed,
-            unseen: VecDeque::new(),
+            pending_changes: VecDeque::new(),
             faults: FaultSettings::default(),
             writes: RateCap::new(plan.write_rate),
             reads: RateCap::new(plan.read_rate),
@@ -174,12 +174,12 @@
         Ok(Self { server })
     }
 
-    /// Address that the stand-in listens on.
+    /// Returns the address that the stand-in listens on.
     pub fn address(&self) -> SocketAddr {
         self.server.address()
     }
 
-    /// Base URL of all services.
+    /// Returns the base URL of all services.
     pub fn base_url(&self) -> String {
         format!("http://{}", self.server.address())
     }
@@ -223,12 +223,12 @@
         let delay = self.delay + Duration::from_millis(self.lock().faults.table_delay_ms);
         tokio::time::sleep(delay).await;
         if self.lock().faults.table_outage {
-            tokio::time::sleep(SILENT_TIME).await;
+            tokio::time::sleep(UNANSWERED_TIME).await;
             return HttpAnswer::empty(503);
         }
         let (outcome, lost) = self.lock().run_table(&request);
         if lost {
-            tokio::time::sleep(SILENT_TIME).await;
+            tokio::time::sleep(UNANSWERED_TIME).await;
         }
         tokio::time::sleep(delay).await;
         HttpAnswer::new(200, WIRE_TYPE, encode_message(&outcome))
@@ -250,7 +250,7 @@
     async fn list(&self) -> HttpAnswer {
         tokio::time::sleep(self.delay * 2).await;
         let mut state = self.lock();
-        state.show_changes();
+        state.apply_due_changes();
         let listed: Vec<ListedWorker> = state
             .listed
             .iter()
@@ -269,7 +269,7 @@
         tokio::time::sleep(self.delay).await;
         let fault = self.lock().fault_of(name);
         if fault.cut_off {
-            tokio::time::sleep(SILENT_TIME).await;
+            tokio::time::sleep(UNANSWERED_TIME).await;
             return HttpAnswer::empty(503);
         }
         let clock = self.clock();
@@ -287,13 +287,13 @@
 
     async fn serve(&self, name: &str, service: &str, request: &HttpRequest) -> HttpAnswer {
         let epoch = header_number(request, "bankvalve-epoch").unwrap_or(0);
-        let work_ms = header_number(request, "work-ms").unwrap_or(SERVICE_MS);
+        let work_ms = header_number(request, "work-ms").unwrap_or(DEFAULT_SERVICE_MS);
         let id = request.header("bankvalve-request").unwrap_or("").to_owned();
         tokio::time::sleep(self.delay).await;
         let clock = self.clock();
         let fault = self.lock().fault_of(name);
         if fault.cut_off {
-            tokio::time::sleep(SILENT_TIME).await;
+            tokio::time::sleep(UNANSWERED_TIME).await;
             return HttpAnswer::empty(503);
         }
         let begun = self
@@ -348,10 +348,10 @@
         if !platform.workers.contains_key(name) {
             return HttpAnswer::empty(404);
         }
-        let shows_at = Instant::now() + self.list_lag;
+        let visible_at = Instant::now() + self.list_lag;
         platform
-            .unseen
-            .push_back((shows_at, name.to_owned(), state));
+            .pending_changes
+            .push_back((visible_at, name.to_owned(), state));
         HttpAnswer::empty(204)
     }
 
@@ -421,13 +421,17 @@
         self.faults.workers.get(name).copied().unwrap_or_default()
     }
 
-    fn show_changes(&mut self) {
+    fn apply_due_changes(&mut self) {
         if self.faults.list_frozen {
             return;
         }
         let now = Instant::now();
-        while self.unseen.front().is_some_and(|(at, _, _)| *at <= now) {
-            let Some((_, name, state)) = self.unseen.pop_front() else {
+        while self
+            .pending_changes
+            .front()
+            .is_some_and(|(at, _, _)| *at <= now)
+        {
+            let Some((_, name, state)) = self.pending_changes.pop_front() else {
                 return;
             };
             match state {
@@ -437,7 +441,7 @@
         }
     }
 
-    /// Runs a table request; tells also whether its answer is to be lost.
+    /// Handles a table request. Also returns whether its answer is to be lost.
     fn run_table(&mut self, request: &StoreRequest) -> (StoreOutcome, bool) {
         let write = matches!(request, StoreRequest::Apply(_));
         let cap = if write {
@@ -445,7 +449,7 @@
         } else {
             &mut self.reads
         };
-        if !cap.admits() {
+        if !cap.try_admit() {
             return (StoreOutcome::Busy, false);
         }
         let outcome = self.table.handle(request);
--- a/crates/bankvalve_standin/src/http/standin_plan.rs
+++ b/crates/bankvalve_standin/src/http/standin_plan.rs
@@ -1,32 +1,32 @@
-//! What the stand-in platform consists of.
+//! Configuration of a stand-in platform.
 
 use std::time::Duration;
 
 use bankvalve_cell::machine::{TaskSize, WorkerDetail};
 use serde::{Deserialize, Serialize};
 
-/// Workers that are alike, in one failure domain.
+/// A group of identical workers in one failure domain.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct WorkerGroup {
-    /// Region.
+    /// Region of the workers.
     pub region: String,
-    /// Failure domain.
+    /// Failure domain of the workers.
     pub domain: String,
     /// Number of workers.
     pub count: u32,
-    /// Workers to a rack.
+    /// Number of workers per rack.
     pub per_rack: u32,
-    /// Size of each.
+    /// Resources of each worker.
     pub size: TaskSize,
-    /// Requests that each serves at once.
+    /// Maximum number of concurrent requests per worker.
     pub slots: u32,
-    /// Connections that each accepts at once.
+    /// Maximum number of concurrent connections per worker.
     pub connections: u32,
 }
 
 impl WorkerGroup {
-    /// The workers, reached under a base URL.
+    /// Returns the workers of the group, with addresses below a base URL.
     pub fn workers(&self, base: &str) -> Vec<WorkerDetail> {
         (0..self.count)
             .map(|index| {
@@ -46,23 +46,23 @@
     }
 }
 
-/// What the stand-in platform consists of.
+/// Workers, delays and rate limits of a stand-in platform.
 #[derive(Clone, Debug)]
 pub struct StandinPlan {
-    /// The workers.
+    /// Groups of workers.
     pub groups: Vec<WorkerGroup>,
-    /// One-way delay to every service.
+    /// One-way network delay to every service.
     pub delay: Duration,
-    /// Writes a second that the table service takes.
+    /// Writes per second that the table service accepts.
     pub write_rate: f64,
-    /// Reads a second that the table service takes.
+    /// Reads per second that the table service accepts.
     pub read_rate: f64,
-    /// Time after which a change shows in the instance list.
+    /// Time until a change becomes visible in the instance list.
     pub list_lag: Duration,
 }
 
 impl StandinPlan {
-    /// A small cell: the failure domains of a region with equal shares of the workers.
+    /// Returns the plan of a small cell: one region whose failure domains share the workers evenly.
     ///
     /// # Examples
     ///
--- a/crates/bankvalve_standin/src/model/object_model.rs
+++ b/crates/bankvalve_standin/src/model/object_model.rs
@@ -1,10 +1,10 @@
-//! The object store: named objects, written whole.
+//! Object store: named objects that are written and read in full.
 
 use std::collections::BTreeMap;
 
 use bankvalve_cell::link::{ObjectOutcome, ObjectRequest};
 
-/// The object store.
+/// In-memory object store.
 ///
 /// # Examples
 ///
@@ -22,7 +22,7 @@
 }
 
 impl ObjectModel {
-    /// Handles a request.
+    /// Handles a request and returns its outcome.
     pub fn handle(&mut self, request: &ObjectRequest) -> ObjectOutcome {
         match request {
             ObjectRequest::Put { name, value } => {
--- a/crates/bankvalve_standin/src/model/table_model.rs
+++ b/crates/bankvalve_standin/src/model/table_model.rs
@@ -1,11 +1,11 @@
-//! The table service: rows with versions, changed by conditional transactions.
+//! Table service: versioned rows, changed by conditional transactions.
 
 use std::collections::BTreeMap;
 
 use bankvalve_cell::ids::RowVersion;
 use bankvalve_cell::link::{RowImage, StoreOutcome, StoreRequest, TableTransaction};
 
-/// The table service.
+/// In-memory table service.
 ///
 /// # Examples
 ///
@@ -23,19 +23,19 @@
 #[derive(Clone, Debug, Default)]
 pub struct TableModel {
     rows: BTreeMap<String, (RowVersion, Vec<u8>)>,
-    /// Content that rows had before, for reads that answer from before.
-    before: BTreeMap<String, (RowVersion, Vec<u8>)>,
+    /// Content of each row before its last change, for stale reads.
+    previous: BTreeMap<String, (RowVersion, Vec<u8>)>,
     last_version: RowVersion,
-    /// Transactions that took effect.
+    /// Number of transactions that were applied.
     pub writes: u64,
-    /// Rows written by them.
+    /// Number of rows that these transactions wrote or removed.
     pub rows_written: u64,
-    /// Reads and scans.
+    /// Number of reads and scans.
     pub reads: u64,
 }
 
 impl TableModel {
-    /// Handles a request.
+    /// Handles a request and returns its outcome.
     pub fn handle(&mut self, request: &StoreRequest) -> StoreOutcome {
         match request {
             StoreRequest::Apply(txn) => self.apply(txn),
@@ -51,10 +51,10 @@
         }
     }
 
-    /// Handles a read as a replica that lags behind would; writes are handled as usual.
+    /// Handles a read like a replica that lags one change behind on every row. Writes are handled normally.
     pub fn handle_stale(&mut self, request: &StoreRequest) -> StoreOutcome {
-        let old = |row: RowImage| match self.before.get(&row.key) {
-            Some(before) => image(&row.key, before),
+        let old = |row: RowImage| match self.previous.get(&row.key) {
+            Some(previous) => image(&row.key, previous),
             None => row,
         };
         let rows = match request {
@@ -69,7 +69,7 @@
         StoreOutcome::Rows(rows)
     }
 
-    /// All rows whose key starts with a prefix, in key order.
+    /// Returns all rows whose key starts with a prefix, in key order.
     pub fn rows_with(&self, prefix: &str) -> Vec<RowImage> {
         self.rows
             .range(prefix.to_owned()..)
@@ -78,7 +78,7 @@
             .collect()
     }
 
-    /// Bytes of all rows.
+    /// Returns the total size of all values in bytes.
     pub fn bytes(&self) -> usize {
         self.rows.values().map(|(_, value)| value.len()).sum()
     }
@@ -106,7 +106,7 @@
                 None => self.rows.remove(&write.key),
             };
             if let Some(old) = old {
-                self.before.insert(write.key.clone(), old);
+                self.previous.insert(write.key.clone(), old);
             }
         }
         StoreOutcome::Applied { version }
--- a/crates/bankvalve_standin/src/model/task_script.rs
+++ b/crates/bankvalve_standin/src/model/task_script.rs
@@ -1,9 +1,9 @@
-//! What a task does on a stand-in worker, read from its payload.
+//! Behavior of a task on a stand-in worker, read from its payload.
 
 use bankvalve_cell::machine::TaskSize;
 use serde::{Deserialize, Serialize};
 
-/// What a task does; a payload that is no script runs as declared and succeeds.
+/// Behavior of a task. A task whose payload is not a script runs as declared and succeeds.
 ///
 /// # Examples
 ///
@@ -17,23 +17,23 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct TaskScript {
-    /// True run time in milliseconds; the declared one if absent.
+    /// Actual run time in milliseconds; `None` for the declared run time.
     pub run_ms: Option<u64>,
-    /// Whether the task fails at its end.
+    /// Whether the task fails when its run time ends.
     pub fail: bool,
-    /// Memory that it really uses in MiB; the declared one if absent.
+    /// Memory that the task actually uses, in MiB; `None` for the declared memory.
     pub memory_mib: Option<u32>,
-    /// Processors that it really uses in millicores; the declared ones if absent.
+    /// CPU that the task actually uses, in millicores; `None` for the declared CPU.
     pub millicores: Option<u32>,
 }
 
 impl TaskScript {
-    /// Reads a script from a payload.
+    /// Parses a payload. Returns the default script if the payload is not a script.
     pub fn from_payload(payload: &str) -> Self {
         serde_json::from_str(payload).unwrap_or_default()
     }
 
-    /// What the task uses, given its declared size.
+    /// Returns the resources that the task actually uses, given its declared size.
     pub fn usage(&self, declared: TaskSize) -> TaskSize {
         TaskSize {
             millicores: self.millicores.unwrap_or(declared.millicores),
--- a/crates/bankvalve_standin/src/model/worker_model.rs
+++ b/crates/bankvalve_standin/src/model/worker_model.rs
@@ -1,4 +1,4 @@
-//! A worker: runs tasks under a lease, keeps a fencing token, serves requests.
+//! Worker: runs tasks under leases, checks fencing tokens and serves requests.
 
 use std::collections::BTreeMap;
 
@@ -11,32 +11,32 @@
 
 use super::TaskScript;
 
-/// Time that usage reports lag behind, in milliseconds.
+/// Run time below which a report gives no resource usage yet, in milliseconds.
 const USAGE_LAG_MS: u64 = 1_000;
 
-/// A run of an attempt, as it really happened.
+/// A run of an attempt, as it took place on the worker.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RunRecord {
     /// The attempt.
     pub key: TaskKey,
-    /// What its owner said of it.
+    /// Label of the task, as sent by the owner of the worker.
     pub label: TaskLabel,
-    /// When it started, by the worker's clock.
+    /// Start time on the worker's clock.
     pub started: WorkerClock,
-    /// When it ended, by the worker's clock; none while it runs.
+    /// End time on the worker's clock; `None` while the attempt runs.
     pub ended: Option<WorkerClock>,
-    /// How it ended.
+    /// Outcome; `None` while the attempt runs.
     pub outcome: Option<TaskOutcome>,
 }
 
-/// Why a worker does not serve a request.
+/// Reason why a worker does not serve a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestRefusal {
-    /// The request comes from an owner that has been replaced.
+    /// The epoch of the request is older than that of the latest owner.
     EpochPassed,
-    /// No task of the service runs here.
+    /// No task of the service runs on the worker.
     NoService,
-    /// All slots are taken.
+    /// All slots are in use.
     NoSlot,
 }
 
@@ -51,17 +51,17 @@
     record: usize,
 }
 
-/// A worker.
+/// In-memory worker.
 #[derive(Clone, Debug)]
 pub struct WorkerModel {
-    /// Name, place and size.
+    /// Name, location and resources.
     pub detail: WorkerDetail,
-    /// Whether everything that it starts fails at once.
+    /// Whether every task fails as soon as it has started.
     pub fails_all: bool,
-    /// Factor by which true run times exceed the declared ones.
+    /// Factor by which run times are multiplied when a task starts.
     pub slowness: f64,
     incarnation: Incarnation,
-    greatest: FenceToken,
+    greatest_token: FenceToken,
     runs: BTreeMap<TaskKey, TaskRun>,
     records: Vec<RunRecord>,
     slots_in_use: u32,
@@ -70,14 +70,14 @@
 }
 
 impl WorkerModel {
-    /// Makes a worker in its first life.
+    /// Creates a worker in its first incarnation.
     pub fn new(detail: WorkerDetail) -> Self {
         Self {
             detail,
             fails_all: false,
             slowness: 1.0,
             incarnation: 1,
-            greatest: FenceToken::default(),
+            greatest_token: FenceToken::default(),
             runs: BTreeMap::new(),
             records: Vec::new(),
             slots_in_use: 0,
@@ -86,7 +86,7 @@
         }
     }
 
-    /// Ends the worker's life at a time and begins the next: all tasks are gone.
+    /// Ends the worker's incarnation, and with it all tasks, and begins the next one.
     pub fn restart(&mut self, clock: WorkerClock) {
         self.advance(clock);
         let lost: Vec<TaskKey> = self.running().map(|(key, _)| key.clone()).collect();
@@ -94,12 +94,12 @@
             self.end(&key, clock, TaskOutcome::Unknown);
         }
         self.incarnation += 1;
-        self.greatest = FenceToken::default();
+        self.greatest_token = FenceToken::default();
         self.runs.clear();
         self.slots_in_use = 0;
     }
 
-    /// Ends tasks whose run time or lease is over by a time.
+    /// Ends the tasks whose run time or lease has ended by the given time.
     pub fn advance(&mut self, clock: WorkerClock) {
         let due: Vec<(TaskKey, WorkerClock, TaskOutcome)> = self
             .running()
@@ -113,26 +113,26 @@
         }
     }
 
-    /// Earliest time at which a task ends by itself.
+    /// Returns the earliest time at which a running task ends without a command.
     pub fn next_end(&self) -> Option<WorkerClock> {
         self.running()
             .map(|(_, run)| run.next_end(self.fails_all).0)
             .min()
     }
 
-    /// Takes an exchange at a time.
+    /// Handles an exchange with the owner at the given time.
     ///
     /// # Errors
     ///
-    /// Returns why the exchange was not taken; it then changed nothing.
+    /// Returns the reason why the exchange was refused. Its lease and its commands have had no effect.
     pub fn exchange(
         &mut self,
         clock: WorkerClock,
         exchange: &WorkerExchange,
     ) -> Result<WorkerReport, WorkerRefusal> {
         self.advance(clock);
-        if exchange.token <= self.greatest {
-            let greatest = self.greatest;
+        if exchange.token <= self.greatest_token {
+            let greatest = self.greatest_token;
             return Err(WorkerRefusal::TokenPassed { greatest });
         }
         if exchange
@@ -144,7 +144,7 @@
         if exchange.lease_until.is_some_and(|until| until <= clock) {
             return Err(WorkerRefusal::LeaseOver);
         }
-        self.greatest = exchange.token;
+        self.greatest_token = exchange.token;
         if let Some(until) = exchange.lease_until {
             self.renew(until);
             for command in &exchange.commands {
@@ -154,11 +154,11 @@
         Ok(self.report(clock, exchange.token))
     }
 
-    /// Begins to serve a request for a service.
+    /// Takes a slot for a request to a service and returns the task that serves it.
     ///
     /// # Errors
     ///
-    /// Returns why it is not served; it then did not run.
+    /// Returns the reason why the request is not served.
     pub fn begin_request(
         &mut self,
         clock: WorkerClock,
@@ -166,7 +166,7 @@
         service: &str,
     ) -> Result<TaskKey, RequestRefusal> {
         self.advance(clock);
-        if epoch < self.greatest.epoch {
+        if epoch < self.greatest_token.epoch {
             return Err(RequestRefusal::EpochPassed);
         }
         let serving = self
@@ -181,34 +181,34 @@
         Ok(key)
     }
 
-    /// Ends a request.
+    /// Releases the slot of a request.
     pub fn end_request(&mut self) {
         self.slots_in_use = self.slots_in_use.saturating_sub(1);
     }
 
-    /// Most requests that were served at once.
+    /// Returns the highest number of requests that were served at the same time.
     pub fn most_slots_in_use(&self) -> u32 {
         self.most_slots_in_use
     }
 
-    /// All runs so far, in order of their start.
+    /// Returns all runs so far, in the order of their starts.
     pub fn records(&self) -> &[RunRecord] {
         &self.records
     }
 
-    /// Room that the running tasks' labels take.
+    /// Returns the sum of the resources that the running tasks declare.
     pub fn resources_in_use(&self) -> TaskSize {
         self.running().fold(TaskSize::default(), |sum, (_, run)| {
             sum.plus(run.label.size)
         })
     }
 
-    /// The largest room in use beyond the worker's size, if it ever was.
+    /// Returns the most resources in use that exceeded the worker's size, or `None` if they never did.
     pub fn overfull(&self) -> Option<TaskSize> {
         self.overfull
     }
 
-    /// Number of running tasks.
+    /// Returns the number of running tasks.
     pub fn running_count(&self) -> usize {
         self.running().count()
     }
@@ -242,16 +242,16 @@
                 }
             }
             WorkerCommand::Forget { key } => {
-                let over = self.runs.get(key).is_some_and(|run| run.ended.is_some());
-                if over {
+                let finished = self.runs.get(key).is_some_and(|run| run.ended.is_some());
+                if finished {
                     self.runs.remove(key);
                 }
             }
             WorkerCommand::Throttle { key, percent } => {
                 if let Some(run) = self.runs.get_mut(key) {
-                    let most = run.label.size.millicores * u32::from(*percent) / 100;
+                    let max_millicores = run.label.size.millicores * u32::from(*percent) / 100;
                     let used = run.script.usage(run.label.size).millicores;
-                    run.script.millicores = Some(used.min(most));
+                    run.script.millicores = Some(used.min(max_millicores));
                 }
             }
             WorkerCommand::Checkpoint { .. } => {}
@@ -305,7 +305,7 @@
     }
 
     fn report(&self, clock: WorkerClock, token: FenceToken) -> WorkerReport {
-        let held = |(key, run): (&TaskKey, &TaskRun)| {
+        let task_report = |(key, run): (&TaskKey, &TaskRun)| {
             let until = run.ended.map_or(clock, |(at, _)| at);
             let ran_ms = until.saturating_sub(run.started);
             let usage = if ran_ms < USAGE_LAG_MS {
@@ -328,14 +328,14 @@
             token,
             incarnation: self.incarnation,
             clock,
-            held: self.runs.iter().map(held).collect(),
+            held: self.runs.iter().map(task_report).collect(),
             slots_in_use: self.slots_in_use,
         }
     }
 }
 
 impl TaskRun {
-    /// When the task ends by itself, and how.
+    /// Returns when and with which outcome the task ends if no command ends it earlier.
     fn next_end(&self, fails_all: bool) -> (WorkerClock, TaskOutcome) {
         if fails_all {
             return (self.started, TaskOutcome::Failed);
--- a/crates/bankvalve_standin/src/site/mod.rs
+++ b/crates/bankvalve_standin/src/site/mod.rs
@@ -1,5 +1,5 @@
-//! The users' platform: table, workers and policy as plain state machines, and all three over
-//! HTTP as [`SitePlatform`].
+//! The platform of the users: table, workers and policy service as state machines without I/O, and all
+//! three over HTTP as [`SitePlatform`].
 
 mod site_platform;
 mod site_policy;
--- a/crates/bankvalve_standin/src/site/site_platform.rs
+++ b/crates/bankvalve_standin/src/site/site_platform.rs
@@ -1,4 +1,4 @@
-//! The users' platform over HTTP, in the platform's own protocol, with faults to turn on.
+//! HTTP server that simulates the platform of the users in its own protocol, with faults to inject.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::{SocketAddr, TcpListener};
@@ -14,30 +14,30 @@
 
 use super::{SitePolicy, SiteStore, SiteWorker, WorkerEvent};
 
-/// Time between two looks at whether a call that waits has its answer.
-const LOOK: Duration = Duration::from_millis(4);
-/// Time for which a call is left without an answer; callers give up long before.
-const SILENCE: Duration = Duration::from_secs(120);
-/// Start of a first process, in Unix milliseconds, to which a worker's number is added.
+/// Interval at which a waiting call checks for its answer.
+const POLL_INTERVAL: Duration = Duration::from_millis(4);
+/// Time for which a call is left without an answer; callers time out much earlier.
+const UNANSWERED_TIME: Duration = Duration::from_secs(120);
+/// Base of the start times of workers, in Unix milliseconds; the number of the worker is added.
 const FIRST_START_MS: u64 = 1_000_000_000_000;
-/// Work of a task whose text does not tell it, in milliseconds.
+/// Run time of a task whose payload has no `work=MS`, in milliseconds.
 const WORK_MS: u64 = 100;
 
-/// What ails the table.
+/// Fault of the table.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum StoreFault {
-    /// Nothing.
+    /// The table works normally.
     #[default]
     None,
-    /// It turns all calls away.
+    /// The table refuses all calls as busy.
     Refuses,
-    /// It leaves all calls unanswered and does nothing.
+    /// The table neither handles nor answers calls.
     Silent,
-    /// It does what it is told and leaves writes unanswered.
+    /// The table handles all calls but does not answer writes.
     LosesAnswers,
 }
 
-/// A run as its worker saw it.
+/// A run as it took place on its worker.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SeenRun {
     /// The task.
@@ -46,9 +46,9 @@
     pub run: RunId,
     /// The worker.
     pub worker: WorkerId,
-    /// When it began, in milliseconds since the platform's start.
+    /// Time at which the start was observed, in milliseconds since the start of the platform.
     pub began_ms: u64,
-    /// When it ended, and how; none while it goes on.
+    /// Time at which the end was observed, and its kind; `None` while the run continues.
     pub ended: Option<(u64, EndKind)>,
 }
 
@@ -57,20 +57,20 @@
     store: SiteStore,
     workers: BTreeMap<WorkerId, SiteWorker>,
     policy: Option<SitePolicy>,
-    trouble: StoreFault,
+    store_fault: StoreFault,
     silent_workers: BTreeSet<WorkerId>,
     runs: Vec<SeenRun>,
 }
 
 impl PlatformState {
-    /// Lets time pass at a worker and notes what happened there.
-    fn note_news(&mut self, id: &WorkerId, now_ms: u64) {
+    /// Advances a worker to the given time and records the runs that started or ended.
+    fn record_events(&mut self, id: &WorkerId, now_ms: u64) {
         let Some(worker) = self.workers.get_mut(id) else {
             return;
         };
         worker.run_until(now_ms);
-        for news in worker.take_events() {
-            match news {
+        for event in worker.take_events() {
+            match event {
                 WorkerEvent::Started(task, run) => self.runs.push(SeenRun {
                     task,
                     run,
@@ -111,7 +111,7 @@
     }
 }
 
-/// The users' platform on one address: its table, its policy and its workers.
+/// The platform of the users on one address: its table, its policy service and its workers.
 ///
 /// # Examples
 ///
@@ -161,12 +161,12 @@
         Ok(Self { shared, server })
     }
 
-    /// Where it listens.
+    /// Returns the address that the platform listens on.
     pub fn address(&self) -> SocketAddr {
         self.server.address()
     }
 
-    /// Adds a worker of a service with so many thousandths of a core.
+    /// Adds a worker of a service with the given CPU and returns its id.
     pub fn add_worker(&self, service: &str, millicores: u64) -> WorkerId {
         let mut state = self.shared.lock();
         let number = state.workers.len() as u64 + 1;
@@ -191,17 +191,17 @@
         id
     }
 
-    /// The operator writes a configuration.
+    /// Replaces the operator's configuration.
     pub fn configure(&self, table: QueueTable) {
         self.shared.lock().store.configure(table);
     }
 
-    /// Sets what ails the table.
-    pub fn set_store_fault(&self, trouble: StoreFault) {
-        self.shared.lock().trouble = trouble;
+    /// Sets the fault of the table.
+    pub fn set_store_fault(&self, store_fault: StoreFault) {
+        self.shared.lock().store_fault = store_fault;
     }
 
-    /// Lets a worker leave all calls unanswered, or answer again; its runs go on.
+    /// Makes a worker leave all calls unanswered, or answer again. Its runs continue.
     pub fn set_worker_silent(&self, id: &WorkerId, silent: bool) {
         let mut state = self.shared.lock();
         if silent {
@@ -211,22 +211,22 @@
         }
     }
 
-    /// Forgets the history of changes.
+    /// Discards the history of changes, so that older watches must read again.
     pub fn forget_history(&self) {
         self.shared.lock().store.forget_history();
     }
 
-    /// All runs so far.
+    /// Returns all runs so far.
     pub fn runs(&self) -> Vec<SeenRun> {
-        self.look_at_all();
+        self.poll_workers();
         self.shared.lock().runs.clone()
     }
 
-    /// Waits until the runs are as wanted; returns whether they were within a time.
+    /// Waits until the runs meet a condition. Returns `false` if they do not within the given time.
     pub fn wait_for_runs(&self, within: Duration, wanted: impl Fn(&[SeenRun]) -> bool) -> bool {
         let until = Instant::now() + within;
         loop {
-            self.look_at_all();
+            self.poll_workers();
             let state = self.shared.lock();
             if wanted(&state.runs) {
                 return true;
@@ -234,22 +234,22 @@
             if Instant::now() >= until {
                 return false;
             }
-            // Runs end by time alone, too, so it looks again without having been woken.
-            drop(self.shared.changed.wait_timeout(state, LOOK * 5));
+            // A run that ends by time wakes nobody, so the wait is short and the workers are polled again.
+            drop(self.shared.changed.wait_timeout(state, POLL_INTERVAL * 5));
         }
     }
 
-    fn look_at_all(&self) {
+    fn poll_workers(&self) {
         let now_ms = self.shared.now_ms();
         let mut state = self.shared.lock();
         let ids: Vec<WorkerId> = state.workers.keys().cloned().collect();
         for id in ids {
-            state.note_news(&id, now_ms);
+            state.record_events(&id, now_ms);
         }
     }
 }
 
-/// Serves one call; a call without an answer is left open.
+/// Serves one call. A call that gets no answer is left open for [`UNANSWERED_TIME`].
 async fn serve(shared: Arc<Shared>, request: HttpRequest) -> HttpAnswer {
     let header = |name: &str| request.header(name).map(str::to_owned);
     let call = counterpart::read_call(&request.path, &request.query, header, &request.body);
@@ -271,18 +271,18 @@
     match answer {
         Some(WireAnswer { status, body, .. }) => HttpAnswer::new(status, "application/json", body),
         None => {
-            tokio::time::sleep(SILENCE).await;
+            tokio::time::sleep(UNANSWERED_TIME).await;
             HttpAnswer::empty(503)
         }
     }
 }
 
 async fn serve_store(shared: &Shared, request: &StoreRequest) -> Option<WireAnswer> {
-    let until = Instant::now() + Duration::from_millis(wait_of(request));
+    let until = Instant::now() + Duration::from_millis(max_wait_ms(request));
     loop {
         let outcome = {
             let mut state = shared.lock();
-            match state.trouble {
+            match state.store_fault {
                 StoreFault::Silent => Some(StoreOutcome::Lost),
                 StoreFault::Refuses => Some(StoreOutcome::Busy),
                 StoreFault::None => state.store.handle(request),
@@ -304,11 +304,11 @@
             let outcome = shared.lock().store.unchanged(request);
             return counterpart::write_outcome(&outcome);
         }
-        tokio::time::sleep(LOOK).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
-fn wait_of(request: &StoreRequest) -> u64 {
+fn max_wait_ms(request: &StoreRequest) -> u64 {
     match request {
         StoreRequest::Watch { wait_ms, .. }
         | StoreRequest::WatchOperator { wait_ms, .. }
@@ -340,22 +340,23 @@
                 return counterpart::write_worker_answer(&WorkerAnswer::OtherLife);
             };
             let answer = worker.handle(now_ms, token, call, state.policy.as_ref(), |_| {
-                plan_of(call)
+                scripted_plan(call)
             });
             let ready = worker.has_ends() || Instant::now() >= until;
-            state.note_news(id, now_ms);
+            state.record_events(id, now_ms);
             shared.changed.notify_all();
             ready.then_some(answer)
         };
         if let Some(answer) = answer {
             return counterpart::write_worker_answer(&answer);
         }
-        tokio::time::sleep(LOOK).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
-/// Size and end of a task by the text that it is started with: `work=MS`, and `fails` if it does.
-fn plan_of(call: &WorkerCall) -> (TaskSize, Option<(u64, EndKind)>) {
+/// Returns the resources, run time and end of a task from the words of its payload: `work=MS`, and
+/// `fails` for a task that fails.
+fn scripted_plan(call: &WorkerCall) -> (TaskSize, Option<(u64, EndKind)>) {
     let WorkerCall::Start(order) = call else {
         return (TaskSize::default(), None);
     };
--- a/crates/bankvalve_standin/src/site/site_policy.rs
+++ b/crates/bankvalve_standin/src/site/site_policy.rs
@@ -1,28 +1,29 @@
-//! The service that permits starts.
+//! Policy service: issues the permits that starts require.
 
 use bankvalve_queue::{AdviceAnswer, AdviceRequest, StepKey, WorkerId};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Hundred parts of a share.
-const PARTS: u64 = 100;
+/// Divisor that maps a hash to a percentage.
+const PERCENT: u64 = 100;
 
-/// Permits some workers to run a step; its answers do not change.
+/// Policy under which a fixed share of the workers may run a step. The same step and worker always get the
+/// same decision.
 #[derive(Clone, Debug)]
 pub struct SitePolicy {
-    /// Share of workers that are good, in percent.
+    /// Share of workers that may run a step, in percent.
     pub good_percent: u64,
-    /// Time for which a permit holds, in milliseconds.
+    /// Time for which a permit is valid, in milliseconds.
     pub valid_ms: u64,
 }
 
 impl SitePolicy {
-    /// Answers a question at a time in milliseconds.
-    pub fn answer(&self, ask: &AdviceRequest, now_ms: u64) -> AdviceAnswer {
-        let permits = ask
+    /// Answers an advice request that arrives at `now_ms`.
+    pub fn answer(&self, request: &AdviceRequest, now_ms: u64) -> AdviceAnswer {
+        let permits = request
             .workers
             .iter()
-            .filter(|worker| self.is_good(ask.step, worker))
-            .map(|worker| (worker.clone(), self.permit(ask.step, worker, now_ms)))
+            .filter(|worker| self.is_good(request.step, worker))
+            .map(|worker| (worker.clone(), self.permit(request.step, worker, now_ms)))
             .collect();
         AdviceAnswer::Good {
             permits,
@@ -30,8 +31,8 @@
         }
     }
 
-    /// Tells whether a permit holds for a step on a worker whose process started at a time: one that was
-    /// given to the process before does not.
+    /// Returns whether a permit is valid for a step on a worker whose process started at `started_ms`.
+    /// Permits that were issued before that time are not valid.
     pub fn holds(
         &self,
         step: StepKey,
@@ -51,9 +52,9 @@
         format!("{now_ms}/{step}/{worker}")
     }
 
-    /// Tells whether a worker may run a step.
+    /// Returns whether a worker may run a step.
     pub fn is_good(&self, step: StepKey, worker: &WorkerId) -> bool {
         let text = format!("{step}/{worker}");
-        xxh3_64(text.as_bytes()) % PARTS < self.good_percent
+        xxh3_64(text.as_bytes()) % PERCENT < self.good_percent
     }
 }
--- a/crates/bankvalve_standin/src/site/site_store.rs
+++ b/crates/bankvalve_standin/src/site/site_store.rs
@@ -1,4 +1,4 @@
-//! The platform's table: rows with versions, conditions and a history of changes.
+//! Table of the users' platform: versioned rows, conditional writes and a history of changes.
 
 use std::collections::BTreeMap;
 
@@ -7,10 +7,10 @@
     WorkerEntry, WorkerId, WorkerRow,
 };
 
-/// Rows of one answer at most.
-const PAGE: usize = 500;
+/// Maximum number of rows in one answer.
+const MAX_PAGE_ROWS: usize = 500;
 
-/// The table, with the operator's and the workers' rows beside it.
+/// In-memory table, including the rows of the operator and of the workers.
 #[derive(Clone, Debug, Default)]
 pub struct SiteStore {
     version: u64,
@@ -19,14 +19,14 @@
     config: Option<(QueueTable, Vec<u8>, u64)>,
     workers: BTreeMap<WorkerId, WorkerRow>,
     worker_changes: Vec<(u64, WorkerId, WorkerRow)>,
-    /// Version before which the history of changes is forgotten.
+    /// Version up to which the history of changes has been discarded.
     forgotten: u64,
-    /// Workers' entries of one answer at most, if fewer than usual.
+    /// Maximum number of worker entries in one answer; `None` for the same maximum as for rows.
     pub worker_page: Option<usize>,
 }
 
 impl SiteStore {
-    /// Handles a request that arrives now; a watch without changes has no answer yet.
+    /// Handles a request. Returns `None` for a watch that has no changes to return yet.
     pub fn handle(&mut self, request: &StoreRequest) -> Option<StoreOutcome> {
         match request {
             StoreRequest::Transact { .. } => Some(self.transact(request)),
@@ -47,9 +47,9 @@
             }
             StoreRequest::ReadOperator => Some(self.operator(0)),
             StoreRequest::WatchOperator { after, .. } => {
-                let news = self.config.as_ref().is_some_and(|(.., at)| at > after);
+                let changed = self.config.as_ref().is_some_and(|(.., at)| at > after);
                 let outcome = self.operator(*after);
-                self.watched(*after, news, |_| outcome)
+                self.watched(*after, changed, |_| outcome)
             }
             StoreRequest::ReadWorkers { from } => Some(self.read_workers(from)),
             StoreRequest::WatchWorkers { after, .. } => {
@@ -70,14 +70,14 @@
         }
     }
 
-    /// A page of the workers' entries, keys rising, as of now.
+    /// Returns a page of the current worker entries in the order of their keys.
     fn read_workers(&self, from: &str) -> StoreOutcome {
-        let page = self.worker_page.unwrap_or(PAGE);
+        let page = self.worker_page.unwrap_or(MAX_PAGE_ROWS);
         let mut entries: Vec<(WorkerId, WorkerRow)> = self
             .workers
             .iter()
             .filter(|(id, _)| id.to_string().as_str() >= from)
-            .map(|(id, news)| (id.clone(), news.clone()))
+            .map(|(id, row)| (id.clone(), row.clone()))
             .collect();
         let more = entries.len() > page;
         entries.truncate(page);
@@ -88,7 +88,7 @@
         }
     }
 
-    /// The answer to a watch whose wait is over.
+    /// Returns the answer to a watch that timed out without changes.
     pub fn unchanged(&self, request: &StoreRequest) -> StoreOutcome {
         let version = self.version;
         match request {
@@ -108,54 +108,55 @@
         }
     }
 
-    /// The operator writes a configuration.
+    /// Replaces the operator's configuration.
     pub fn configure(&mut self, table: QueueTable) {
         self.configure_raw(table, Vec::new());
     }
 
-    /// The operator writes a configuration, which is read as the bytes given.
+    /// Replaces the operator's configuration and the raw bytes that reads return for it.
     pub fn configure_raw(&mut self, table: QueueTable, raw: Vec<u8>) {
         self.version += 1;
         self.config = Some((table, raw, self.version));
     }
 
-    /// A worker writes its entry, or its entry goes.
+    /// Writes a worker's entry, or removes it if `entry` is `None`.
     pub fn set_worker(&mut self, id: &WorkerId, entry: Option<WorkerEntry>) {
-        self.tell_of_worker(id, entry.map_or(WorkerRow::Gone, WorkerRow::Entry));
+        self.record_worker_change(id, entry.map_or(WorkerRow::Gone, WorkerRow::Entry));
     }
 
-    /// Another writer writes an entry of which no worker can be made.
+    /// Writes an entry that cannot be read as a worker, as another program might.
     pub fn write_unusable_worker(&mut self, id: &WorkerId) {
-        self.tell_of_worker(id, WorkerRow::Unusable("written by another program"));
+        self.record_worker_change(id, WorkerRow::Unusable("written by another program"));
     }
 
-    fn tell_of_worker(&mut self, id: &WorkerId, news: WorkerRow) {
+    fn record_worker_change(&mut self, id: &WorkerId, row: WorkerRow) {
         self.version += 1;
-        match &news {
+        match &row {
             WorkerRow::Gone => self.workers.remove(id),
-            news => self.workers.insert(id.clone(), news.clone()),
+            row => self.workers.insert(id.clone(), row.clone()),
         };
-        self.worker_changes.push((self.version, id.clone(), news));
+        self.worker_changes.push((self.version, id.clone(), row));
     }
 
-    /// Tells whether a worker's entry stands, and is its own.
+    /// Returns whether a worker has a usable entry.
     pub fn lists(&self, id: &WorkerId) -> bool {
         matches!(self.workers.get(id), Some(WorkerRow::Entry(_)))
     }
 
-    /// Version before which the history of changes is forgotten.
+    /// Returns the version up to which the history of changes has been discarded.
     pub fn forgotten_before(&self) -> u64 {
         self.forgotten
     }
 
-    /// Forgets the history of changes.
+    /// Discards the history of changes. Watches that start from an older version get
+    /// [`StoreOutcome::HistoryGone`].
     pub fn forget_history(&mut self) {
         self.forgotten = self.version;
         self.changes.clear();
         self.worker_changes.clear();
     }
 
-    /// Number of rows of a table.
+    /// Returns the number of rows of a table.
     pub fn count_rows(&self, table: &str) -> usize {
         self.rows.keys().filter(|key| key.table == table).count()
     }
@@ -163,13 +164,13 @@
     fn watched(
         &self,
         after: u64,
-        news: bool,
+        changed: bool,
         outcome: impl FnOnce(u64) -> StoreOutcome,
     ) -> Option<StoreOutcome> {
         if after < self.forgotten {
             return Some(StoreOutcome::HistoryGone);
         }
-        news.then(|| outcome(self.version))
+        changed.then(|| outcome(self.version))
     }
 
     fn operator(&self, after: u64) -> StoreOutcome {
@@ -232,21 +233,21 @@
     }
 
     fn read(&self, table: &str, part: &str, from: &str, limit: Option<u32>) -> StoreOutcome {
-        let most = limit.map_or(PAGE, |limit| PAGE.min(limit as usize));
+        let max_rows = limit.map_or(MAX_PAGE_ROWS, |limit| MAX_PAGE_ROWS.min(limit as usize));
         let first = RowKey::new(table, part, from);
         let mut rows: Vec<StoredRow> = self
             .rows
             .range(first..)
             .take_while(|(key, _)| key.table == table && key.part == part)
-            .take(most + 1)
+            .take(max_rows + 1)
             .map(|(key, (value, version))| StoredRow {
                 key: key.clone(),
                 value: value.clone(),
                 version: *version,
             })
             .collect();
-        let more = rows.len() > most;
-        rows.truncate(most);
+        let more = rows.len() > max_rows;
+        rows.truncate(max_rows);
         StoreOutcome::Rows {
             rows,
             more,
--- a/crates/bankvalve_standin/src/site/site_worker.rs
+++ b/crates/bankvalve_standin/src/site/site_worker.rs
@@ -1,4 +1,5 @@
-//! A worker that starts whatever it is told and checks nothing but orders' tokens and times.
+//! Worker of the users' platform. It checks the token, times, run number and permit of a start order, but not
+//! whether it has the capacity.
 
 use std::collections::BTreeMap;
 
@@ -9,26 +10,26 @@
 
 use super::SitePolicy;
 
-/// Longest hold that is granted if nothing else is said, in milliseconds.
-const HOLD_LIMIT_MS: u64 = 6_000;
-/// Time that a stop takes, in milliseconds.
+/// Default of [`SiteWorker::max_lease_ms`], in milliseconds.
+const DEFAULT_MAX_LEASE_MS: u64 = 6_000;
+/// Time from a stop call to the end of the run, in milliseconds.
 const STOP_MS: u64 = 150;
 
-/// A run on a worker.
+/// A running task on a worker.
 #[derive(Clone, Debug)]
 pub struct SiteRun {
-    /// The run.
+    /// Id of the run.
     pub run: RunId,
-    /// Room that it takes.
+    /// Resources that the run takes.
     pub room: TaskSize,
-    /// Time of the worker's clock at which it ends, and how; none while a gang assembles.
+    /// Time on the worker's clock at which the run ends, and how; `None` while its gang assembles.
     pub ends: Option<(u64, EndKind)>,
-    /// Time of the worker's clock at which it began.
+    /// Start time on the worker's clock, in milliseconds.
     pub began: u64,
 }
 
 impl SiteRun {
-    /// How much of its work is done, in percent, at a time of the worker's clock.
+    /// Returns the progress of the run in percent at a time on the worker's clock.
     fn percent(&self, clock: u64) -> u32 {
         let Some((ends, _)) = self.ends else {
             return 0;
@@ -39,48 +40,48 @@
     }
 }
 
-/// What happened on a worker.
+/// An event on a worker.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum WorkerEvent {
-    /// A run began.
+    /// A run started.
     Started(TaskKey, RunId),
     /// A run ended.
     Ended(TaskKey, RunId, EndKind),
-    /// An end was acknowledged.
+    /// The leader acknowledged that the end is committed to the ledger.
     Kept(TaskKey, RunId, EndKind),
 }
 
-/// One life of a worker.
+/// One process of a worker.
 #[derive(Clone, Debug)]
 pub struct SiteWorker {
-    /// Id of the life.
+    /// Id of the worker.
     pub id: WorkerId,
-    /// Its entry.
+    /// Entry of the worker in the platform's table.
     pub entry: WorkerEntry,
-    /// Number by which whoever plays it tells its process from others.
+    /// Number by which the simulation identifies the process.
     pub process: u64,
-    /// Offset of its clock, in milliseconds.
+    /// Reading of the worker's clock at `clock_base_ms`, in milliseconds.
     clock_offset_ms: u64,
-    /// Time at which its clock began with the offset, in milliseconds.
+    /// Platform time at which the worker's clock reads `clock_offset_ms`, in milliseconds.
     clock_base_ms: u64,
-    /// Longest hold that it grants, in milliseconds.
+    /// Longest lease that the worker grants from its current time, in milliseconds.
     pub max_lease_ms: u64,
     token: FenceToken,
-    until: u64,
+    lease_until: u64,
     runs: BTreeMap<TaskKey, SiteRun>,
-    over: BTreeMap<TaskKey, RunId>,
+    finished: BTreeMap<TaskKey, RunId>,
     ends: Vec<EndReport>,
     next_end: u64,
-    kept: u64,
-    /// Number of the last end before the hold last ran out.
-    lapsed: u64,
-    /// Runs that its list names and that it does not have, as another program's would.
+    acknowledged: u64,
+    /// Number of the last end that was recorded when the lease last expired while tasks were running.
+    last_expired_end: u64,
+    /// Runs that reports list although the worker does not have them, as a faulty program might report.
     pub also_listed: Vec<RunReport>,
-    news: Vec<WorkerEvent>,
+    events: Vec<WorkerEvent>,
 }
 
 impl SiteWorker {
-    /// A fresh life.
+    /// Creates a first process of a worker.
     pub fn new(id: WorkerId, entry: WorkerEntry, clock_offset_ms: u64) -> Self {
         Self {
             id,
@@ -88,22 +89,22 @@
             process: 0,
             clock_offset_ms,
             clock_base_ms: 0,
-            max_lease_ms: HOLD_LIMIT_MS,
+            max_lease_ms: DEFAULT_MAX_LEASE_MS,
             token: 0,
-            until: 0,
+            lease_until: 0,
             runs: BTreeMap::new(),
-            over: BTreeMap::new(),
+            finished: BTreeMap::new(),
             ends: Vec::new(),
             next_end: 1,
-            kept: 0,
-            lapsed: 0,
+            acknowledged: 0,
+            last_expired_end: 0,
             also_listed: Vec::new(),
-            news: Vec::new(),
+            events: Vec::new(),
         }
     }
 
-    /// Another process of a worker under its id, which holds and knows nothing of the one before; its clock
-    /// begins with `clock_ms` at `now_ms`.
+    /// Creates a new process of a worker with the same id and no state from the previous process. Its clock
+    /// reads `clock_ms` at `now_ms`.
     pub fn restarted(id: WorkerId, entry: WorkerEntry, now_ms: u64, clock_ms: u64) -> Self {
         Self {
             clock_base_ms: now_ms,
@@ -111,17 +112,18 @@
         }
     }
 
-    /// Reading of its clock at a time.
+    /// Returns the reading of the worker's clock at a platform time.
     pub fn clock_at(&self, now_ms: u64) -> u64 {
         now_ms + self.clock_offset_ms - self.clock_base_ms
     }
 
-    /// Time at which its clock has a reading, in milliseconds.
+    /// Returns the platform time at which the worker's clock has a reading, in milliseconds.
     pub fn time_of(&self, clock: u64) -> u64 {
         (clock + self.clock_base_ms).saturating_sub(self.clock_offset_ms)
     }
 
-    /// Handles a call at a time; `room_of` and `time_of` tell a task's size and its work.
+    /// Handles a call. `plan` returns the resources of a task, and its run time and end, or `None`
+    /// while its gang assembles.
     pub fn handle(
         &mut self,
         now_ms: u64,
@@ -143,11 +145,11 @@
         let mut report = None;
         match call {
             WorkerCall::Start(order) => {
-                self.prolong(order.until_ms, clock);
+                self.renew_lease(order.until_ms, clock);
                 if self
-                    .over
+                    .finished
                     .get(&order.task)
-                    .is_some_and(|over| order.run <= *over)
+                    .is_some_and(|finished| order.run <= *finished)
                 {
                     return refused(StartRefusal::Old);
                 }
@@ -176,22 +178,23 @@
                             began: clock,
                         };
                         self.runs.insert(order.task, run);
-                        self.news.push(WorkerEvent::Started(order.task, order.run));
+                        self.events
+                            .push(WorkerEvent::Started(order.task, order.run));
                     }
                 }
             }
             WorkerCall::Stop { task, run } => {
-                let over = self.over.entry(*task).or_default();
-                *over = (*over).max(*run);
+                let finished = self.finished.entry(*task).or_default();
+                *finished = (*finished).max(*run);
                 if let Some(live) = self.runs.get_mut(task).filter(|live| live.run == *run) {
                     live.ends = Some((clock + STOP_MS, EndKind::Stopped));
                 }
             }
             WorkerCall::Hold { until_ms, kept, .. } => {
-                if let Some(until) = until_ms {
-                    self.prolong(*until, clock);
+                if let Some(lease_until) = until_ms {
+                    self.renew_lease(*lease_until, clock);
                 }
-                self.keep(*kept);
+                self.acknowledge_ends(*kept);
                 report = Some(self.report(clock));
             }
             WorkerCall::Pace { .. } => {}
@@ -202,17 +205,20 @@
         }
     }
 
-    fn prolong(&mut self, until: u64, clock: u64) {
-        self.until = self.until.max(until.min(clock + self.max_lease_ms));
+    fn renew_lease(&mut self, lease_until: u64, clock: u64) {
+        self.lease_until = self
+            .lease_until
+            .max(lease_until.min(clock + self.max_lease_ms));
     }
 
-    fn keep(&mut self, kept: u64) {
-        self.kept = self.kept.max(kept);
-        // An end that the worker's hold outlived only in part does not count as noted.
-        let noted = |end: &&EndReport| end.number <= kept && end.number > self.lapsed;
-        for end in self.ends.iter().filter(noted) {
-            let news = WorkerEvent::Kept(end.task, end.run, end.how);
-            self.news.push(news);
+    fn acknowledge_ends(&mut self, kept: u64) {
+        self.acknowledged = self.acknowledged.max(kept);
+        // An end that was not yet acknowledged when the lease expired, ending other runs, produces no event.
+        let acknowledged =
+            |end: &&EndReport| end.number <= kept && end.number > self.last_expired_end;
+        for end in self.ends.iter().filter(acknowledged) {
+            let event = WorkerEvent::Kept(end.task, end.run, end.how);
+            self.events.push(event);
         }
         self.ends.retain(|end| end.number > kept);
     }
@@ -233,38 +239,39 @@
         }
     }
 
-    /// Lets time pass: runs end, and all of them if the hold is over.
+    /// Advances the worker to the given time: ends the runs that are due, and all runs if the lease
+    /// has expired.
     pub fn run_until(&mut self, now_ms: u64) {
         let clock = self.clock_at(now_ms);
-        let lapsed = clock >= self.until;
+        let expired = clock >= self.lease_until;
         let ran = !self.runs.is_empty();
-        let over: Vec<(TaskKey, EndKind)> = self
+        let finished: Vec<(TaskKey, EndKind)> = self
             .runs
             .iter()
             .filter_map(|(task, run)| match run.ends {
-                Some((at, how)) if at <= clock && (at <= self.until || !lapsed) => {
+                Some((at, how)) if at <= clock && (at <= self.lease_until || !expired) => {
                     Some((*task, how))
                 }
-                _ if lapsed => Some((*task, EndKind::Lapsed)),
+                _ if expired => Some((*task, EndKind::Lapsed)),
                 _ => None,
             })
             .collect();
-        for (task, how) in over {
+        for (task, how) in finished {
             self.end(task, how);
         }
-        // A hold that runs out while nothing runs ends nothing.
-        if lapsed && ran {
-            self.lapsed = self.next_end - 1;
+        // A lease that expires while the worker has no runs ends none.
+        if expired && ran {
+            self.last_expired_end = self.next_end - 1;
         }
     }
 
-    /// Ends a run.
+    /// Ends the run of a task and reports the end in the next polls.
     pub fn end(&mut self, task: TaskKey, how: EndKind) {
         let Some(run) = self.runs.remove(&task) else {
             return;
         };
-        let over = self.over.entry(task).or_default();
-        *over = (*over).max(run.run);
+        let finished = self.finished.entry(task).or_default();
+        *finished = (*finished).max(run.run);
         self.ends.push(EndReport {
             number: self.next_end,
             task,
@@ -273,10 +280,10 @@
             saved: String::new(),
         });
         self.next_end += 1;
-        self.news.push(WorkerEvent::Ended(task, run.run, how));
+        self.events.push(WorkerEvent::Ended(task, run.run, how));
     }
 
-    /// Lets a gang's member begin its work.
+    /// Starts the work of a gang member once the gang has assembled.
     pub fn begin_work(&mut self, task: TaskKey, now_ms: u64, work: (u64, EndKind)) {
         let clock = self.clock_at(now_ms);
         if let Some(run) = self.runs.get_mut(&task) {
@@ -284,33 +291,33 @@
         }
     }
 
-    /// Runs that it has.
+    /// Returns the runs in progress, by task.
     pub fn runs(&self) -> &BTreeMap<TaskKey, SiteRun> {
         &self.runs
     }
 
-    /// Runs of a step that it has.
+    /// Returns the number of runs in progress of a step.
     pub fn held_of(&self, step: StepKey) -> usize {
         self.runs.keys().filter(|task| task.step == step).count()
     }
 
-    /// Room in use.
+    /// Returns the resources that the runs take.
     pub fn used(&self) -> TaskSize {
         let rooms = self.runs.values().map(|run| run.room);
         rooms.fold(TaskSize::default(), |sum, room| sum.plus(&room))
     }
 
-    /// Takes what happened since the last time.
+    /// Removes and returns the events since the last call.
     pub fn take_events(&mut self) -> Vec<WorkerEvent> {
-        std::mem::take(&mut self.news)
+        std::mem::take(&mut self.events)
     }
 
-    /// Time on the caller's clock at which its hold is over, in milliseconds.
+    /// Returns the platform time at which the lease expires, in milliseconds.
     pub fn lease_expiry_ms(&self) -> u64 {
-        self.time_of(self.until)
+        self.time_of(self.lease_until)
     }
 
-    /// Whether an end waits for an answer to a look.
+    /// Returns whether an end waits to be acknowledged.
     pub fn has_ends(&self) -> bool {
         !self.ends.is_empty()
     }
