--- a/crates/bankvalve_standin/src/site/site_policy.rs
+++ b/crates/bankvalve_standin/src/site/site_policy.rs
@@ -33,19 +33,19 @@
 
     /// Returns whether a permit is valid for a step on a worker whose process started at `started_ms`.
     /// Permits that were issued before that time are not valid.
-    pub fn holds(
+    pub fn is_permit_valid(
         &self,
         step: StepKey,
         (worker, started_ms): (&str, u64),
         permit: &str,
         now_ms: u64,
     ) -> bool {
-        let Some((given, name)) = permit.split_once('/') else {
+        let Some((issued_ms, name)) = permit.split_once('/') else {
             return false;
         };
-        let given: u64 = given.parse().unwrap_or(0);
-        let holds = given >= started_ms && now_ms <= given + self.valid_ms;
-        holds && name == format!("{step}/{worker}")
+        let issued_ms: u64 = issued_ms.parse().unwrap_or(0);
+        let valid = issued_ms >= started_ms && now_ms <= issued_ms + self.valid_ms;
+        valid && name == format!("{step}/{worker}")
     }
 
     fn permit(&self, step: StepKey, worker: &str, now_ms: u64) -> String {
--- a/crates/bankvalve_standin/src/site/site_worker.rs
+++ b/crates/bankvalve_standin/src/site/site_worker.rs
@@ -15,7 +15,7 @@
 /// Time from a stop call to the end of the run, in milliseconds.
 const STOP_MS: u64 = 150;
 
-/// A running task on a worker.
+/// A run in progress on a worker.
 #[derive(Clone, Debug)]
 pub struct SiteRun {
     /// Id of the run.
@@ -75,7 +75,7 @@
     acknowledged: u64,
     /// Number of the last end that was recorded when the lease last expired while tasks were running.
     last_expired_end: u64,
-    /// Runs that reports list although the worker does not have them, as a faulty program might report.
+    /// Runs that reports list although the worker does not have them, to simulate a faulty worker program.
     pub also_listed: Vec<RunReport>,
     events: Vec<WorkerEvent>,
 }
@@ -164,7 +164,7 @@
                         let permit = order.permit.as_deref().unwrap_or_default();
                         let permitted = policy.is_none_or(|policy| {
                             let process = (&*self.id, self.clock_base_ms);
-                            policy.holds(step, process, permit, now_ms)
+                            policy.is_permit_valid(step, process, permit, now_ms)
                         });
                         if !permitted {
                             return refused(StartRefusal::Permit);
@@ -213,7 +213,7 @@
 
     fn acknowledge_ends(&mut self, kept: u64) {
         self.acknowledged = self.acknowledged.max(kept);
-        // An end that was not yet acknowledged when the lease expired, ending other runs, produces no event.
+        // An end produces no event if the lease expired, with tasks running, before the acknowledgement.
         let acknowledged =
             |end: &&EndReport| end.number <= kept && end.number > self.last_expired_end;
         for end in self.ends.iter().filter(acknowledged) {
