--- a/crates/bankvalve/tests/site/trouble.rs
+++ b/crates/bankvalve/tests/site/trouble.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use bankvalve_queue::{WireCall, WireReply};
-use bankvalve_standin::site::StoreTrouble;
+use bankvalve_standin::site::StoreFault;
 
 use crate::test_site::{
     assert_tasks_run_once, count_done, exchange_full, job_of, submission, wait_until, TestSite,
@@ -14,7 +14,7 @@
 fn jobs_are_refused_with_a_retry_time_while_the_table_refuses_requests() {
     let site = TestSite::start(2, 3);
     site.submit(job_of(1, "work=50", &[1]));
-    site.platform.set_trouble(StoreTrouble::Refuses);
+    site.platform.set_store_fault(StoreFault::Refuses);
     let refused = Arc::new(job_of(2, "work=50", &[1]));
     let call =
         bankvalve_platform::counterpart::write_request(&site.rule, &submission(&refused), None);
@@ -33,7 +33,7 @@
         })
     };
     wait_until("the refusal is counted", || counted(0) || counted(1));
-    site.platform.set_trouble(StoreTrouble::None);
+    site.platform.set_store_fault(StoreFault::None);
     site.submit(job_of(3, "work=50", &[2]));
     site.wait_for_success(1, 3..=3);
     assert!(site
@@ -47,7 +47,7 @@
 fn writes_with_lost_answers_are_applied_once() {
     let site = TestSite::start(2, 3);
     site.submit(job_of(1, "work=50", &[1]));
-    site.platform.set_trouble(StoreTrouble::LosesAnswers);
+    site.platform.set_store_fault(StoreFault::LosesAnswers);
     let spec = Arc::new(job_of(2, "work=50", &[2]));
     let reply = site.send_request(0, &submission(&spec));
     // 504 (outcome unknown), unless a retransmission of the write shows that it was applied.
@@ -61,7 +61,7 @@
         ),
         "{reply:?}"
     );
-    site.platform.set_trouble(StoreTrouble::None);
+    site.platform.set_store_fault(StoreFault::None);
     site.submit(job_of(2, "work=50", &[2]));
     site.wait_for_success(0, 1..=2);
     let runs = site.platform.runs();
@@ -78,7 +78,7 @@
     let first = site.platform.runs()[0].clone();
     // The first run goes on, but its end cannot be reported. The leader may start the task elsewhere only
     // once the lease, which it can no longer renew, has expired.
-    site.platform.silence_worker(&first.worker, true);
+    site.platform.set_worker_silent(&first.worker, true);
     let again = |runs: &[bankvalve_standin::site::SeenRun]| {
         runs.iter()
             .any(|run| run.worker != first.worker && run.ended.is_some())
@@ -122,10 +122,10 @@
     let send_request =
         || exchange_full(site.entry(0).plan().callers, &elsewhere).expect("an answer");
     assert_eq!(send_request().0, 404);
-    site.platform.set_trouble(StoreTrouble::Refuses);
+    site.platform.set_store_fault(StoreFault::Refuses);
     let (status, head, _) = send_request();
     assert_eq!(status, 503);
     assert!(head.contains("retry-after"), "{head}");
-    site.platform.set_trouble(StoreTrouble::None);
+    site.platform.set_store_fault(StoreFault::None);
     wait_until("it is known not to be there", || send_request().0 == 404);
 }
