--- a/crates/bankvalve/src/api/admin_api.rs
+++ b/crates/bankvalve/src/api/admin_api.rs
@@ -1,4 +1,4 @@
-//! The interface for monitoring: metrics, life and readiness.
+//! HTTP interface for monitoring: metrics, liveness and readiness.
 
 use std::sync::Arc;
 
@@ -8,10 +8,10 @@
 use crate::metrics::InstanceMetrics;
 use crate::serve::CoreHandle;
 
-/// Content type of metrics.
+/// Content type of the metrics in Prometheus text format.
 const METRICS: &str = "text/plain; version=0.0.4";
 
-/// The interface for monitoring.
+/// HTTP interface for monitoring.
 #[derive(Clone, Debug)]
 pub struct AdminApi {
     core: CoreHandle,
@@ -25,8 +25,8 @@
 
     /// Handles a request.
     ///
-    /// `/healthz` answers as long as the process runs; `/readyz` only while
-    /// callers should be sent here.
+    /// `/healthz` returns 200 while the process runs. `/readyz` returns 200 while the instance is ready to
+    /// serve callers, otherwise 503.
     pub async fn handle(self, request: HttpRequest) -> HttpAnswer {
         match (&request.method, request.path.as_str()) {
             (&Method::GET, "/healthz") => HttpAnswer::new(200, "text/plain", "lives\n"),
--- a/crates/bankvalve/src/api/caller_api.rs
+++ b/crates/bankvalve/src/api/caller_api.rs
@@ -1,4 +1,4 @@
-//! The versioned interface for callers and operators, described in docs/API.md.
+//! Versioned HTTP interface for callers and operators, described in docs/API.md.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Arc;
@@ -15,34 +15,34 @@
 use super::error_body::{ErrorBody, JSON};
 use crate::serve::{CoreHandle, RecordReader, RequestOutcome, RequestRouter, ServiceRequest};
 
-/// Patience of a caller who names none.
+/// Time limit of a service request without the header `bankvalve-deadline-ms`.
 const DEFAULT_DEADLINE: Duration = Duration::from_secs(5);
-/// Longest patience of a caller.
+/// Longest time limit of a service request; longer ones are shortened to this.
 const LONGEST_DEADLINE: Duration = Duration::from_secs(50);
-/// Time after which a refused request may come back, in milliseconds.
+/// Time after which a caller may retry a refused request, in milliseconds.
 const COME_BACK_MS: u64 = 200;
 
-/// Who sends a request.
+/// Authenticated sender of a request.
 enum Sender {
     Team(String),
     Operator,
 }
 
-/// Whether to drain.
+/// Body of a command that drains a worker or ends the drain.
 #[derive(Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct DrainBody {
     drain: bool,
 }
 
-/// The log level to set.
+/// Body of a command that sets the log level.
 #[derive(Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct LevelBody {
     level: String,
 }
 
-/// The interface for callers and operators.
+/// HTTP interface for callers and operators.
 #[derive(Clone, Debug)]
 pub struct CallerApi {
     core: CoreHandle,
@@ -74,7 +74,7 @@
         }
     }
 
-    /// Handles a request.
+    /// Handles a request, and counts it as in flight until its answer is ready.
     pub async fn handle(self, request: HttpRequest) -> HttpAnswer {
         self.in_flight.fetch_add(1, Ordering::AcqRel);
         let answer = self.route(&request).await;
@@ -238,7 +238,7 @@
         }
     }
 
-    /// Admits a caller of the team, or an operator.
+    /// Checks that the sender is a caller of the team or an operator.
     fn check_team(&self, request: &HttpRequest, team: &str) -> Result<(), Box<ErrorBody>> {
         match self.sender(request)? {
             Sender::Team(own) if own != team => Err(not_allowed(&format!(
@@ -248,7 +248,7 @@
         }
     }
 
-    /// Admits a caller of the team only.
+    /// Checks that the sender is a caller of the team.
     fn check_caller(&self, request: &HttpRequest, team: &str) -> Result<(), Box<ErrorBody>> {
         let (caller, _, _) = KeyRing::headers();
         let own = self
--- a/crates/bankvalve/src/api/error_body.rs
+++ b/crates/bankvalve/src/api/error_body.rs
@@ -1,33 +1,33 @@
-//! The one shape that errors have.
+//! JSON body that all error answers have.
 
 use bankvalve_cell::link::Refusal;
 use bankvalve_cell::refusal::RefusalReason;
 use bankvalve_link::HttpAnswer;
 use serde::{Deserialize, Serialize};
 
-/// Content type of JSON.
+/// Content type of JSON bodies.
 pub(crate) const JSON: &str = "application/json";
 
-/// What went wrong.
+/// Description of an error.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ErrorDetail {
-    /// `not_run`: certainly not done. `unknown`: it may have been done.
+    /// `not_run` if the request is known not to have had any effect; `unknown` if it may have had an effect.
     pub outcome: String,
-    /// Reason, from one list; docs/API.md has all of them.
+    /// Reason, one of the list in docs/API.md.
     pub reason: String,
-    /// What was expected, or what is missing.
+    /// What was expected or is missing.
     pub detail: String,
-    /// The field at fault, if one is.
+    /// Path of the invalid field, if a single field is invalid.
     pub field: Option<String>,
-    /// Step at which it arose.
+    /// Step that failed.
     pub step: String,
-    /// Peer at which it arose, if it was not this instance.
+    /// Peer that reported the error, or `None` if it arose in this instance.
     pub peer: Option<String>,
-    /// When to come back, in milliseconds; none if coming back does not help.
+    /// Time after which to retry, in milliseconds, or `None` if a retry does not help.
     pub retry_after_ms: Option<u64>,
 }
 
-/// Body of an answer that is an error.
+/// Body of an error answer.
 ///
 /// # Examples
 ///
@@ -42,15 +42,15 @@
 /// ```
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ErrorBody {
-    /// What went wrong.
+    /// Description of the error.
     pub error: ErrorDetail,
-    /// Status code of the answer.
+    /// HTTP status of the answer.
     #[serde(skip)]
     status: u16,
 }
 
 impl ErrorBody {
-    /// A refusal: certainly not done.
+    /// Creates the body of a refusal: the request is known not to have had any effect.
     pub fn refused(step: &str, refusal: Refusal) -> Self {
         Self {
             status: status_of(refusal.reason),
@@ -66,7 +66,7 @@
         }
     }
 
-    /// It may or may not have been done.
+    /// Creates the body of an answer with unknown outcome: the request may have had an effect.
     pub fn unknown(step: &str, detail: &str) -> Self {
         Self {
             status: 504,
@@ -82,13 +82,13 @@
         }
     }
 
-    /// Names the peer at which it arose.
+    /// Sets the peer that reported the error.
     pub fn at_peer(mut self, peer: &str) -> Self {
         self.error.peer = Some(peer.into());
         self
     }
 
-    /// The answer.
+    /// Converts the body to an HTTP answer.
     pub fn answer(&self) -> HttpAnswer {
         let text = serde_json::to_vec(self).unwrap_or_default();
         let mut answer = HttpAnswer::new(self.status, JSON, text);
--- a/crates/bankvalve/src/api/mod.rs
+++ b/crates/bankvalve/src/api/mod.rs
@@ -1,4 +1,4 @@
-//! The HTTP interfaces: for callers and operators, for peers, for monitoring.
+//! HTTP interfaces for callers and operators, for peers, and for monitoring.
 
 mod admin_api;
 mod caller_api;
--- a/crates/bankvalve/src/api/peer_api.rs
+++ b/crates/bankvalve/src/api/peer_api.rs
@@ -1,4 +1,4 @@
-//! The interface between entry instances.
+//! HTTP interface between entry instances.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -10,12 +10,12 @@
 use super::caller_api::header_ms;
 use crate::serve::{CoreHandle, RequestOutcome, RequestRouter, ServiceRequest};
 
-/// Patience of a request whose header names none.
+/// Time limit of a service request without the header `bankvalve-deadline-ms`.
 const DEFAULT_DEADLINE: Duration = Duration::from_secs(5);
 /// Content type of a service's answer.
 const CONTENT: &str = "application/octet-stream";
 
-/// The interface between entry instances.
+/// HTTP interface between entry instances.
 #[derive(Clone, Debug)]
 pub struct PeerApi {
     core: CoreHandle,
@@ -28,12 +28,13 @@
         Self { core, router, keys }
     }
 
-    /// Handles a request.
+    /// Handles a request from a peer: a message batch, or a service request for a worker that this instance
+    /// owns.
     pub async fn handle(self, request: HttpRequest) -> HttpAnswer {
         let (_, _, peer) = KeyRing::headers();
         let header = request.header(peer);
         if let Err(failure) = self.keys.check_peer(header, &request.path, &request.body) {
-            log::warn!("peers: a request was refused: {failure}");
+            log::warn!("peers: refused a request: {failure}");
             return HttpAnswer::new(403, "text/plain", failure.to_string());
         }
         let path = request.path.clone();
--- a/crates/bankvalve/src/metrics/mod.rs
+++ b/crates/bankvalve/src/metrics/mod.rs
@@ -1,4 +1,4 @@
-//! Metrics through opentelemetry, served for scraping.
+//! Metrics of an instance, collected with OpenTelemetry and served in Prometheus text format.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex};
@@ -35,7 +35,7 @@
         let exporter = opentelemetry_prometheus::exporter()
             .with_registry(registry.clone())
             .build()
-            .expect("an empty registry takes an exporter");
+            .expect("an exporter can be registered in an empty registry");
         let resource = Resource::builder()
             .with_service_name("bankvalve")
             .with_attribute(KeyValue::new("service.instance.id", name.to_owned()))
@@ -58,7 +58,7 @@
         }
     }
 
-    /// Adds a server whose counters are shown.
+    /// Adds an HTTP server whose connection counters are included in the metrics.
     pub(crate) fn watch_server(&self, name: &'static str, counters: Arc<ServerCounters>) {
         let mut servers = self
             .servers
@@ -67,7 +67,7 @@
         servers.insert(name, counters);
     }
 
-    /// All metrics in the text format that scrapers read.
+    /// Returns all metrics in Prometheus text format.
     pub fn render(&self) -> String {
         let families = self.registry.gather();
         TextEncoder::new()
@@ -76,7 +76,9 @@
     }
 }
 
-/// A counter for each refusal and retry reason; all show from the start.
+/// Registers the counters of refusals, retries and invariants.
+///
+/// Each reason and each invariant is reported from the start, with 0 if it has not occurred.
 fn register_reasons(meter: &Meter, core: &CoreHandle, router: &RequestRouter) {
     let (of_core, of_router) = (core.clone(), router.clone());
     meter
--- a/crates/bankvalve/src/serve/core_thread.rs
+++ b/crates/bankvalve/src/serve/core_thread.rs
@@ -1,4 +1,4 @@
-//! The thread that makes all decisions.
+//! The core thread, which runs the decision logic of the instance.
 
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -16,14 +16,15 @@
 
 use super::RouteTable;
 
-/// Time between two ticks.
+/// Interval between two ticks of the core.
 const TICK: Duration = Duration::from_millis(20);
-/// Time between two publications of routes and counters.
+/// Interval between two publications of routes and counters.
 const PUBLISH: Duration = Duration::from_millis(100);
-/// Time after which a caller may come back when the ring is full, in milliseconds.
+/// Time after which a caller may retry when the core's queue is full or the instance is stopping, in
+/// milliseconds.
 const COME_BACK_MS: u64 = 500;
 
-/// Something for the core thread.
+/// An input of the core thread.
 pub(super) enum CoreInput {
     End,
     Event(CoreEvent),
@@ -33,26 +34,26 @@
     },
 }
 
-/// What others may see of the core.
+/// Snapshot of the core's state, published for metrics.
 #[derive(Clone, Debug, Default)]
 pub struct CoreView {
-    /// Counters.
+    /// Counters of the core's decisions and invariants.
     pub tally: CellTally,
-    /// Partitions owned: of workers, of teams.
+    /// Numbers of worker partitions and of team partitions that this instance owns.
     pub partitions: (usize, usize),
-    /// Tasks that wait to be assigned by the teams' owners here.
+    /// Number of tasks in the owned team partitions that wait to be assigned.
     pub waiting: usize,
-    /// Room reserved and room in all, of the workers owned here.
+    /// Reserved and total capacity of the workers in the owned worker partitions.
     pub room: (TaskSize, TaskSize),
     /// Version of the bundle in force.
     pub bundle: u64,
-    /// Whether the table service has answered lately.
+    /// Whether the table service has answered recently.
     pub store_answers: bool,
-    /// Batches that wait to be archived.
+    /// Number of ledger batches that are not yet archived in the object store.
     pub unarchived: usize,
 }
 
-/// What the core thread shares.
+/// State that the core thread shares with the other threads.
 #[derive(Debug, Default)]
 pub(super) struct CoreShared {
     pub(super) routes: RwLock<Arc<RouteTable>>,
@@ -61,11 +62,11 @@
     pub(super) stopped: AtomicBool,
     pub(super) steps: AtomicU64,
     pub(super) ring_full: AtomicU64,
-    /// Processor time of all steps, in nanoseconds.
+    /// Elapsed time of all steps, in nanoseconds.
     pub(super) step_nanos: AtomicU64,
 }
 
-/// Handle to the core thread.
+/// Handle through which other threads send events and commands to the core thread.
 #[derive(Clone)]
 pub struct CoreHandle {
     ring: Sender<CoreInput>,
@@ -79,7 +80,7 @@
 }
 
 impl CoreHandle {
-    /// Makes a handle and the ring's other end.
+    /// Creates a handle and the receiving end of its queue, which holds up to `ring` inputs.
     pub(super) fn new(ring: usize) -> (Self, Receiver<CoreInput>) {
         let (sender, receiver) = crossbeam::channel::bounded(ring);
         let shared = Arc::new(CoreShared::default());
@@ -94,7 +95,7 @@
         &self.shared
     }
 
-    /// Gives the core an event; returns whether the ring had room.
+    /// Sends an event to the core without blocking; returns whether the queue accepted it.
     pub fn give(&self, event: CoreEvent) -> bool {
         let given = self.ring.try_send(CoreInput::Event(event)).is_ok();
         if !given {
@@ -103,12 +104,12 @@
         given
     }
 
-    /// Ends the core thread, and with it the links.
+    /// Ends the core thread. The links thread ends with it, because its action channel closes.
     pub(super) fn end(&self) {
         let _ = self.ring.send(CoreInput::End);
     }
 
-    /// Gives the core a command and waits for the answer.
+    /// Sends a command to the core and waits for the answer.
     pub async fn command(&self, command: CallerCommand) -> CallerAnswer {
         let (reply, answer) = oneshot::channel();
         match self.ring.try_send(CoreInput::Command { command, reply }) {
@@ -127,29 +128,30 @@
         answer.await.unwrap_or_else(|_| gone())
     }
 
-    /// The routes in force.
+    /// Returns the routes that the core last published.
     pub fn routes(&self) -> Arc<RouteTable> {
         let routes = self.shared.routes.read();
         routes.unwrap_or_else(|error| error.into_inner()).clone()
     }
 
-    /// What the core last published.
+    /// Returns the snapshot that the core last published.
     pub fn view(&self) -> CoreView {
         let view = self.shared.view.lock();
         view.unwrap_or_else(|error| error.into_inner()).clone()
     }
 
-    /// Tells whether the instance may be given callers.
+    /// Returns whether the instance is ready to serve callers.
     pub fn is_ready(&self) -> bool {
         self.shared.ready.load(Ordering::Acquire)
     }
 
-    /// Tells whether everything has been handed over.
+    /// Returns whether the core has stopped, with all its partitions handed over.
     pub fn is_stopped(&self) -> bool {
         self.shared.stopped.load(Ordering::Acquire)
     }
 
-    /// Steps made, their processor time in nanoseconds, and events refused by a full ring.
+    /// Returns the number of steps, their elapsed time in nanoseconds, and the number of inputs and actions
+    /// that a full queue refused.
     pub fn effort(&self) -> (u64, u64, u64) {
         let read = |counter: &AtomicU64| counter.load(Ordering::Relaxed);
         let shared = &self.shared;
@@ -167,7 +169,7 @@
     CallerAnswer::NotRun(Refusal::temporary(reason, detail, COME_BACK_MS))
 }
 
-/// The core thread's own state.
+/// State of the core thread.
 pub(super) struct CoreThread {
     core: InstanceCore,
     started: Instant,
@@ -195,7 +197,7 @@
         }
     }
 
-    /// Runs until the ring is closed.
+    /// Runs until `CoreInput::End` arrives or the queue is closed.
     pub(super) fn run(mut self, ring: &Receiver<CoreInput>) {
         let mut next_tick = Instant::now();
         let mut next_publication = Instant::now();
@@ -256,7 +258,9 @@
         }
     }
 
-    /// Tells the core that something was not sent because the ring was full.
+    /// Reports to the core that an action was not sent because the queue of the links thread was full.
+    ///
+    /// Only table requests and worker exchanges are reported; other actions are dropped.
     fn fail(&mut self, action: CoreAction) {
         match action {
             CoreAction::Store { ticket, .. } => self.step(CoreEvent::Store {
@@ -326,7 +330,7 @@
     }
 }
 
-/// The wall clock in milliseconds since the Unix epoch.
+/// Returns the wall-clock time in milliseconds since the Unix epoch.
 pub(super) fn unix_millis() -> UnixMillis {
     let since = SystemTime::now().duration_since(UNIX_EPOCH);
     since.map_or(0, |since| since.as_millis() as UnixMillis)
--- a/crates/bankvalve/src/serve/instance_process.rs
+++ b/crates/bankvalve/src/serve/instance_process.rs
@@ -1,4 +1,4 @@
-//! Starts an entry instance's threads and stops them.
+//! Starts and stops the threads of an entry instance.
 
 use std::net::{SocketAddr, TcpListener};
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -22,28 +22,29 @@
 use crate::metrics::InstanceMetrics;
 use crate::settings::ServeSettings;
 
-/// Time between two looks at whether everything is handed over.
+/// Interval at which a planned stop checks whether it is complete.
 const LOOK: Duration = Duration::from_millis(10);
-/// Time for which the balancer is shown that the instance is not ready, before it stops taking requests.
+/// Shortest time for which a stopping instance still accepts requests while `/readyz` reports it as not
+/// ready, so that the load balancer stops sending requests to it first.
 const BALANCER_TIME: Duration = Duration::from_millis(1_500);
 
-/// Listeners that an instance was given.
+/// Listening sockets of an instance.
 #[derive(Debug)]
 pub struct InstanceListeners {
-    /// Callers and operators.
+    /// Listener for callers and operators.
     pub callers: TcpListener,
-    /// Other entry instances.
+    /// Listener for other entry instances.
     pub peers: TcpListener,
-    /// Metrics and health.
+    /// Listener for metrics and health checks.
     pub admin: TcpListener,
 }
 
 impl InstanceListeners {
-    /// Listens on the addresses of the settings.
+    /// Binds the addresses of the settings.
     ///
     /// # Errors
     ///
-    /// Returns the step and the address.
+    /// Returns `ServeFailure::Listen` with the settings field and the address that could not be bound.
     pub fn bind(settings: &ServeSettings) -> Result<Self, Report<ServeFailure>> {
         let bind = |field: &str, address: SocketAddr| {
             bankvalve_link::listen(address)
@@ -57,11 +58,11 @@
         })
     }
 
-    /// Settings with the ports that were really bound, where port 0 asked for any.
+    /// Returns the settings with the ports that were bound, which differ where the settings have port 0.
     ///
     /// # Errors
     ///
-    /// Returns an error if a listener has no address.
+    /// Returns an error if the address of a listener cannot be read.
     pub fn bound_settings(
         &self,
         settings: &ServeSettings,
@@ -93,7 +94,7 @@
 }
 
 impl InstanceProcess {
-    /// Starts an instance.
+    /// Starts all threads and HTTP servers of an instance.
     ///
     /// # Errors
     ///
@@ -192,38 +193,38 @@
         })
     }
 
-    /// Name of the instance.
+    /// Returns the name of the instance.
     pub fn name(&self) -> &str {
         &self.name
     }
 
-    /// Handle to the core thread.
+    /// Returns the handle to the core thread.
     pub fn core(&self) -> &CoreHandle {
         &self.core
     }
 
-    /// The request path.
+    /// Returns the router of service requests.
     pub fn router(&self) -> &RequestRouter {
         &self.router
     }
 
-    /// Metrics.
+    /// Returns the metrics of the instance.
     pub fn metrics(&self) -> &Arc<InstanceMetrics> {
         &self.metrics
     }
 
-    /// Address that callers are listened to on.
+    /// Returns the address on which the instance listens for callers.
     pub fn caller_address(&self) -> Option<SocketAddr> {
         self.callers.as_ref().map(HttpServer::address)
     }
 
-    /// Stops as planned: shows the balancer that it is leaving, hands over
-    /// what it owns, and finishes what is in flight.
+    /// Performs a planned stop: hands over the owned partitions, lets the load balancer see that the instance
+    /// is not ready, and waits for the requests in flight.
     ///
-    /// Returns whether all of it was done in the time that the settings give.
+    /// Returns whether the handover and all requests finished within the stop time of the settings.
     pub fn stop(mut self) -> bool {
         let begun = Instant::now();
-        log::info!("serve: instance {} stops", self.name);
+        log::info!("serve: instance {} is stopping", self.name);
         self.core.give(CoreEvent::Stop);
         let late = |since: Instant| since.elapsed() >= self.stop_time;
         while !self.core.is_stopped() && !late(begun) {
@@ -251,7 +252,8 @@
         whole
     }
 
-    /// Ends all threads at once, as a crash would, but for the sockets.
+    /// Ends all threads without a handover, as a crash would, except that the HTTP servers are stopped
+    /// properly.
     fn end(&mut self) {
         self.stop_list.store(true, Ordering::Release);
         self.core.end();
--- a/crates/bankvalve/src/serve/link_thread.rs
+++ b/crates/bankvalve/src/serve/link_thread.rs
@@ -1,4 +1,4 @@
-//! The thread that carries what the core asks for to the platform, workers and peers.
+//! The links thread, which sends the core's requests to the platform, the workers and the peers.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -16,18 +16,18 @@
 
 use super::CoreHandle;
 
-/// Path of peers' batches.
+/// HTTP path to which peers post message batches.
 pub(crate) const BATCH_PATH: &str = "/peer/batch";
-/// Batches that wait for one peer at most.
+/// Largest number of batches queued for one peer.
 const PEER_RING: usize = 64;
-/// Time in which a peer must take a batch.
+/// Time within which a peer must answer a batch.
 const PEER_TIME: Duration = Duration::from_secs(1);
-/// Idle connections kept to each host.
+/// Largest number of idle connections pooled for each host.
 const IDLE: usize = 8;
-/// Largest reply in bytes.
+/// Largest reply that is read, in bytes.
 const REPLY_BYTES: usize = 64 * 1024 * 1024;
 
-/// Addresses and times of the links.
+/// Addresses, timeouts and signing key of the links thread.
 #[derive(Clone, Debug)]
 pub(super) struct LinkPlan {
     pub(super) table_url: String,
@@ -37,7 +37,9 @@
     pub(super) signer: PeerSigner,
 }
 
-/// Carries actions until the ring is closed.
+/// Performs the core's actions until the channel is closed.
+///
+/// Each request runs as its own task; batches to one peer go through a queue so that they stay in order.
 pub(super) async fn carry_all(
     plan: LinkPlan,
     mut ring: mpsc::Receiver<CoreAction>,
@@ -89,7 +91,7 @@
                     sender
                 });
                 if sender.try_send(batch).is_err() {
-                    log::debug!("links: a peer's ring is full; a batch is dropped");
+                    log::debug!("links: the queue for a peer is full; a batch was dropped");
                 }
             }
             CoreAction::Answer { .. } | CoreAction::Stopped => {}
@@ -97,7 +99,7 @@
     }
 }
 
-/// Carries batches to one peer, one after the other.
+/// Sends batches to one peer, one after the other. A batch that fails is dropped.
 async fn carry_batches(
     address: String,
     mut batches: mpsc::Receiver<PeerBatch>,
@@ -132,14 +134,14 @@
     match sent {
         Ok(reply) => decode_ok(&reply).unwrap_or(StoreOutcome::Lost),
         Err(ClientFailure::Refused(text) | ClientFailure::NotSent(text)) => {
-            log::debug!("links: the table service was not reached: {text}");
+            log::debug!("links: the table service could not be reached: {text}");
             StoreOutcome::Busy
         }
         Err(ClientFailure::NoReply(_)) => StoreOutcome::Lost,
     }
 }
 
-/// Asks the object store.
+/// Sends a request to the object store; any failure becomes `ObjectOutcome::Failed`.
 pub(super) async fn ask_objects(
     client: &HttpClient,
     url: &str,
--- a/crates/bankvalve/src/serve/list_thread.rs
+++ b/crates/bankvalve/src/serve/list_thread.rs
@@ -1,4 +1,4 @@
-//! The thread that polls the platform's instance list.
+//! The list thread, which polls the platform's list of workers.
 
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
@@ -10,12 +10,15 @@
 
 use super::CoreHandle;
 
-/// Time in which the list must be read.
+/// Timeout for connecting to the list's URL, and for reading the list.
 const READ_TIME: Duration = Duration::from_secs(3);
-/// Longest time between two looks at whether to stop.
+/// Longest time between two checks of the stop flag.
 const LOOK: Duration = Duration::from_millis(50);
 
-/// Polls the list until told to stop; a list that cannot be read changes nothing.
+/// Polls the list until `stop` is set.
+///
+/// If the list cannot be read, the core keeps the previous one. Only the first of several failures in a row
+/// is logged.
 pub(super) fn poll_list(url: &str, pause: Duration, stop: &Arc<AtomicBool>, core: &CoreHandle) {
     let mut failing = false;
     while !stop.load(Ordering::Acquire) {
@@ -26,7 +29,7 @@
             }
             Err(error) if !failing => {
                 failing = true;
-                log::warn!("list: the instance list was not read: {error}");
+                log::warn!("list: the instance list could not be read: {error}");
             }
             Err(_) => {}
         }
--- a/crates/bankvalve/src/serve/mod.rs
+++ b/crates/bankvalve/src/serve/mod.rs
@@ -1,9 +1,9 @@
-//! An entry instance as threads: one for each duty, joined by bounded rings.
+//! The threads of an entry instance, which communicate through bounded queues.
 //!
-//! The `core` thread makes all decisions. The `links` thread carries what it
-//! asks for to the platform, the workers and the peers. The `callers`,
-//! `peers` and `admin` threads listen; the `list` thread polls the instance
-//! list.
+//! - `core` runs the decision logic.
+//! - `links` sends the core's requests to the platform, the workers and the peers.
+//! - `callers`, `peers` and `admin` serve HTTP requests.
+//! - `list` polls the platform's instance list.
 
 mod core_thread;
 mod instance_process;
--- a/crates/bankvalve/src/serve/record_reader.rs
+++ b/crates/bankvalve/src/serve/record_reader.rs
@@ -1,4 +1,4 @@
-//! Reads the record of what ran from the object store and the table service.
+//! Reads the archived and the recent ledger batches of a team's jobs.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -13,27 +13,27 @@
 
 use super::link_thread::ask_objects;
 
-/// Time in which each part of the record must be read.
+/// Timeout of each request to the table service or the object store.
 const READ_TIME: Duration = Duration::from_secs(5);
-/// Idle connections kept.
+/// Largest number of idle connections pooled for each host.
 const IDLE: usize = 2;
-/// Largest reply in bytes.
+/// Largest reply that is read, in bytes.
 const REPLY_BYTES: usize = 64 * 1024 * 1024;
 
-/// One event of the record.
+/// One ledger event with the batch that holds it.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct RecordEntry {
-    /// Number of its batch.
+    /// Sequence number of the batch.
     pub batch: u64,
-    /// Instance that committed it.
+    /// Name of the instance that committed the batch.
     pub instance: String,
-    /// The owner's epoch.
+    /// Epoch in which that instance owned the partition.
     pub epoch: u64,
-    /// The event.
+    /// The ledger event.
     pub event: LedgerEvent,
 }
 
-/// Reads the record of a team's partition.
+/// Client that reads the ledger of a team partition from the table service and the object store.
 #[derive(Clone, Debug)]
 pub struct RecordReader {
     client: HttpClient,
@@ -50,11 +50,12 @@
         }
     }
 
-    /// Reads and verifies a partition's record, and returns what concerns a team or a job of it.
+    /// Reads a partition's ledger, verifies its hash chain, and returns the events of a team or of one of its
+    /// jobs.
     ///
     /// # Errors
     ///
-    /// Returns what could not be read, or where the chain breaks.
+    /// Returns what could not be read, or where the hash chain is broken.
     pub async fn read(
         &self,
         partition: PartitionIndex,
@@ -86,10 +87,10 @@
         Ok(entries)
     }
 
-    /// All batches of a partition by number.
+    /// Returns all batches of a partition by sequence number.
     ///
-    /// The table is read first: a batch that is archived and deleted in
-    /// between is then in the objects.
+    /// The table is read before the object store: a batch that is archived and deleted from the table between
+    /// the two reads is then found in the object store.
     async fn batches_of(&self, partition: u32) -> Result<BTreeMap<u64, Vec<u8>>, String> {
         let mut batches = BTreeMap::new();
         for row in self.log_rows(partition).await? {
--- a/crates/bankvalve/src/serve/request_router.rs
+++ b/crates/bankvalve/src/serve/request_router.rs
@@ -1,4 +1,4 @@
-//! Carries callers' requests to running tasks of a service, with one hop at most.
+//! Forwards callers' requests to running tasks of a service, through at most one peer.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Arc;
@@ -14,52 +14,55 @@
 use super::route_table::{RouteTable, SlotGate};
 use super::CoreHandle;
 
-/// Targets that one request is tried on at most.
+/// Largest number of endpoints that one request is sent to.
 const TRY_LIMIT: usize = 4;
-/// Part of a second try's cost that each request earns, in thousandths.
+/// Amount that each request adds to the retry budget, in thousandths of a retry.
 const BUDGET_EARNED: u64 = 100;
-/// Cost of a second try, in thousandths.
+/// Amount that a retry takes from the retry budget, in thousandths of a retry.
 const BUDGET_COST: u64 = 1_000;
-/// Most that the budget saves up, in thousandths.
+/// Upper limit of the retry budget, in thousandths of a retry.
 const BUDGET_LIMIT: u64 = 50_000;
-/// Time kept back at each hop, for the way back.
+/// Time subtracted from the deadline sent to a peer, so that the peer's answer arrives before the caller's
+/// deadline.
 const HOP_TIME: Duration = Duration::from_millis(5);
-/// Idle connections kept to each host.
+/// Largest number of idle connections pooled for each host.
 const IDLE: usize = 64;
-/// Largest answer of a service in bytes.
+/// Largest answer of a service that is read, in bytes.
 const ANSWER_BYTES: usize = 16 * 1024 * 1024;
-/// Content type of requests and answers of services.
+/// Content type of requests to services.
 const CONTENT: &str = "application/octet-stream";
 
-/// A request for a service.
+/// A request to a service.
 #[derive(Clone, Debug)]
 pub struct ServiceRequest {
-    /// The team.
+    /// Team that owns the service.
     pub team: String,
-    /// The service.
+    /// Name of the service.
     pub service: String,
-    /// Id that the caller gave it.
+    /// Request id that the caller chose.
     pub id: String,
-    /// When the caller's patience ends.
+    /// Time by which the caller needs the answer.
     pub deadline: Instant,
-    /// Whether it may run again when it is not known whether it ran.
+    /// Whether the request may be sent again when it is unknown whether it ran.
     pub repeatable: bool,
-    /// Body.
+    /// Body of the request.
     pub body: Bytes,
 }
 
-/// What became of a request.
+/// Outcome of a request.
 #[derive(Clone, Debug)]
 pub enum RequestOutcome {
     /// The service answered, with this status and body.
     Answered(u16, Bytes),
-    /// It certainly did not run.
+    /// The request is known not to have run.
     NotRun(RefusalReason),
-    /// It may have run.
+    /// The request may have run; its answer was lost.
     Unknown,
 }
 
-/// Second tries are a share of the traffic.
+/// Budget that limits retries to a share of the requests.
+///
+/// Each request earns a tenth of a retry, and up to 50 retries can be saved.
 #[derive(Debug)]
 struct RetryBudget {
     saved: AtomicU64,
@@ -91,22 +94,22 @@
     retried: [AtomicU64; RetryReason::ALL.len()],
 }
 
-/// What the request path has counted.
+/// Snapshot of the router's counters.
 #[derive(Clone, Debug, Default)]
 pub struct RequestCounts {
     /// Requests refused, by reason.
     pub refused: Vec<(RefusalReason, u64)>,
-    /// Second tries, by reason.
+    /// Failed tries that allow a retry, by reason.
     pub retried: Vec<(RetryReason, u64)>,
     /// Requests answered by their service.
     pub answered: u64,
-    /// Requests of which it is not known whether they ran.
+    /// Requests that may have run and whose answer was lost.
     pub unknown: u64,
-    /// Requests carried through a peer.
+    /// Tries that were sent through a peer.
     pub hops: u64,
 }
 
-/// Carries requests.
+/// Forwards requests to services and counts the outcomes.
 #[derive(Clone, Debug)]
 pub struct RequestRouter {
     core: CoreHandle,
@@ -133,7 +136,8 @@
         }
     }
 
-    /// A router with a client of its own, for another runtime; counters and budget are shared.
+    /// Returns a router with its own HTTP client, for use in another runtime. Counters and retry budget are
+    /// shared.
     pub(super) fn for_other_runtime(&self) -> Self {
         Self {
             client: HttpClient::new(IDLE, ANSWER_BYTES),
@@ -141,7 +145,7 @@
         }
     }
 
-    /// What has been counted.
+    /// Returns a snapshot of the counters.
     pub fn counts(&self) -> RequestCounts {
         let read = |counter: &AtomicU64| counter.load(Ordering::Relaxed);
         let refused = RefusalReason::ALL.iter().zip(&self.counters.refused);
@@ -159,7 +163,10 @@
         }
     }
 
-    /// Carries a caller's request; tries again only what certainly did not run, or may be repeated.
+    /// Forwards a caller's request to the service's endpoints in turn, within the retry budget and the
+    /// deadline.
+    ///
+    /// Retries only a request that is known not to have run, or that is repeatable.
     pub async fn carry(&self, request: &ServiceRequest) -> RequestOutcome {
         self.budget.earn();
         let routes = self.core.routes();
@@ -194,13 +201,14 @@
         })
     }
 
-    /// Carries a request to a worker that is owned here; a peer asked for it.
+    /// Forwards a request from a peer to a worker that this instance owns.
     pub async fn carry_to_own(&self, worker: &str, request: &ServiceRequest) -> RequestOutcome {
         let routes = self.core.routes();
         self.send_to_worker(&routes, worker, request).await
     }
 
-    /// Own workers first, then those of the same failure domain, else in random order.
+    /// Orders routes: workers owned by this instance first, then workers of its failure domain, otherwise at
+    /// random.
     fn order_points<'a>(&self, points: &'a [ServiceRoute]) -> Vec<&'a ServiceRoute> {
         let mut ordered: Vec<&ServiceRoute> = points.iter().collect();
         ordered.shuffle(&mut rand::rng());
@@ -314,9 +322,9 @@
     }
 }
 
-/// Status with which a peer says that a request certainly did not run.
+/// HTTP status of a peer's answer for a request that is known not to have run.
 pub(crate) const PEER_NOT_RUN: u16 = 570;
-/// Status with which a peer says that a request may have run.
+/// HTTP status of a peer's answer for a request that may have run.
 pub(crate) const PEER_UNKNOWN: u16 = 571;
 
 fn outcome_from_peer(status: u16, body: Bytes) -> RequestOutcome {
--- a/crates/bankvalve/src/serve/route_table.rs
+++ b/crates/bankvalve/src/serve/route_table.rs
@@ -1,4 +1,4 @@
-//! Where services run, and the slots of the workers owned here.
+//! Routes to running tasks of services, and the request slots of the workers owned by this instance.
 
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicU32, Ordering};
@@ -6,7 +6,9 @@
 
 use bankvalve_cell::instance::{OwnedWorker, ServiceRoute};
 
-/// Slots and connections of one worker, counted by its only owner.
+/// Limit on the concurrent requests to one worker.
+///
+/// Only the instance that owns the worker sends requests to it, so a count in this process is exact.
 ///
 /// # Examples
 ///
@@ -26,21 +28,21 @@
     in_use: AtomicU32,
 }
 
-/// A slot that is held until this is dropped.
+/// A request slot of a worker, released on drop.
 #[derive(Debug)]
 pub struct SlotPermit {
     gate: Arc<SlotGate>,
 }
 
 impl SlotGate {
-    /// Makes a gate for a worker with so many slots and connections.
+    /// Creates a gate that admits as many requests as the smaller of the two numbers.
     pub fn new(slots: u32, connections: u32) -> Self {
         let limit = slots.min(connections);
         let in_use = AtomicU32::new(0);
         Self { limit, in_use }
     }
 
-    /// Takes a slot, if one is free.
+    /// Takes a slot; returns `None` if all are in use.
     pub fn acquire(gate: &Arc<Self>) -> Option<SlotPermit> {
         let more = |used: u32| (used < gate.limit).then_some(used + 1);
         let taken = gate
@@ -49,7 +51,7 @@
         taken.ok().map(|_| SlotPermit { gate: gate.clone() })
     }
 
-    /// Slots in use.
+    /// Returns the number of slots in use.
     pub fn in_use(&self) -> u32 {
         self.in_use.load(Ordering::Acquire)
     }
@@ -61,14 +63,14 @@
     }
 }
 
-/// A worker owned here, with its gate.
+/// A worker owned by this instance, with its gate.
 #[derive(Clone, Debug)]
 pub(super) struct GatedWorker {
     pub(super) worker: OwnedWorker,
     pub(super) gate: Arc<SlotGate>,
 }
 
-/// Where services run, and the workers owned here.
+/// Routes to running tasks by team and service, and the workers owned by this instance.
 #[derive(Clone, Debug, Default)]
 pub struct RouteTable {
     points: BTreeMap<(String, String), Vec<ServiceRoute>>,
@@ -76,7 +78,8 @@
 }
 
 impl RouteTable {
-    /// Makes the next table, keeping the gates of workers that stay.
+    /// Creates the next table. Workers that are in both tables keep their gates, and with them their slots in
+    /// use.
     pub fn next(&self, points: Vec<ServiceRoute>, own: Vec<OwnedWorker>) -> Self {
         let mut table = Self::default();
         for point in points {
@@ -97,7 +100,7 @@
         table
     }
 
-    /// Running tasks of a team's service.
+    /// Returns the routes to the running tasks of a team's service.
     pub fn points_of(&self, team: &str, service: &str) -> &[ServiceRoute] {
         let name = (team.to_owned(), service.to_owned());
         self.points.get(&name).map_or(&[], Vec::as_slice)
--- a/crates/bankvalve/src/serve/serve_failure.rs
+++ b/crates/bankvalve/src/serve/serve_failure.rs
@@ -1,15 +1,15 @@
-//! Why an instance could not be started.
+//! Error type of the start of an instance.
 
 use std::fmt;
 
-/// Step at which an instance could not be started.
+/// Step at which the start of an instance failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ServeFailure {
-    /// The settings are not as they must be.
+    /// The settings are invalid.
     Settings,
-    /// An address could not be listened on.
+    /// An address could not be bound.
     Listen,
-    /// It was told to stop while it waited for an address.
+    /// A stop was requested while the instance waited for an address.
     Stopped,
     /// A thread could not be started.
     Thread,
--- a/crates/bankvalve/tests/cell/access.rs
+++ b/crates/bankvalve/tests/cell/access.rs
@@ -1,11 +1,11 @@
-//! Each kind of link accepts its own kind of key only.
+//! Tests that each HTTP interface accepts only its own kind of key, and tests of encryption and error bodies.
 
 use bankvalve_link::{sign_command, OperatorSigner, PeerSigner};
 use serde_json::{json, Value};
 
 use super::test_cell::{batch, token_of, TestCell, PEER_KEY};
 
-/// Status of a request with one header.
+/// Sends a request with one header and returns the status and the JSON body.
 fn status(method: &str, url: &str, header: (&'static str, String), body: &str) -> (u16, Value) {
     let method = method.parse().unwrap();
     let sent = attohttpc::RequestBuilder::new(method, url)
--- a/crates/bankvalve/tests/cell/hostile.rs
+++ b/crates/bankvalve/tests/cell/hostile.rs
@@ -1,4 +1,5 @@
-//! Idle, slow, oversized and malformed peers cost a bounded amount and are counted.
+//! Tests that idle, slow, oversized and malformed requests are limited and counted, and that other clients
+//! are still served.
 
 use std::io::{Read, Write};
 use std::net::TcpStream;
@@ -8,12 +9,12 @@
 
 use super::test_cell::{batch, token_of, wait_until, TestCell};
 
-/// Idle connections that are opened.
+/// Number of idle connections that the test opens.
 const IDLE: usize = 2_000;
-/// Descriptors that the test needs.
+/// File descriptor limit that the test needs.
 const DESCRIPTORS: u64 = 8_192;
 
-/// Value of a counter of the callers' listener.
+/// Returns a connection counter of the callers' listener, or 0 if the metrics do not have it.
 fn counter(cell: &TestCell, kind: &str) -> u64 {
     let text = cell.metrics(0);
     let line = text.lines().find(|line| {
@@ -25,7 +26,8 @@
     value.map_or(0, |value| value.parse().unwrap())
 }
 
-/// Waits until a counter has come to a value; it is counted after the peer has its answer.
+/// Waits until a counter reaches a value. The server counts a connection only after the client has its
+/// answer.
 fn wait_for_count(cell: &TestCell, kind: &str, least: u64) {
     wait_until("a peer is counted", || counter(cell, kind) >= least);
 }
--- a/crates/bankvalve/tests/cell/main.rs
+++ b/crates/bankvalve/tests/cell/main.rs
@@ -1,4 +1,4 @@
-//! Tests of real processes: entry instances, killed, paused and stopped under load.
+//! Tests with real `serve` processes that are killed, paused and stopped under load.
 
 mod access;
 mod hostile;
--- a/crates/bankvalve/tests/cell/outage.rs
+++ b/crates/bankvalve/tests/cell/outage.rs
@@ -1,4 +1,4 @@
-//! The platform's services are down, slow, or lose answers.
+//! Tests in which the table service is down or loses answers, or a worker is cut off from the network.
 
 use bankvalve::command::FailureKind;
 use serde_json::json;
--- a/crates/bankvalve/tests/cell/stopping.rs
+++ b/crates/bankvalve/tests/cell/stopping.rs
@@ -1,4 +1,4 @@
-//! Planned stops cut nothing.
+//! Tests that planned stops and drains interrupt no request and no task.
 
 use std::thread;
 
@@ -6,7 +6,7 @@
 
 use super::test_cell::{batch, service, token_of, wait_until, TestCell};
 
-/// Time that a request is worked on, in milliseconds.
+/// Time that the task takes to answer the request, in milliseconds.
 const WORK_MS: &str = "900";
 
 #[test]
--- a/crates/bankvalve/tests/cell/takeover.rs
+++ b/crates/bankvalve/tests/cell/takeover.rs
@@ -1,10 +1,10 @@
-//! Instances die or pause, and others take over.
+//! Tests in which instances are killed or paused and other instances take over their partitions.
 
 use nix::sys::signal::Signal;
 
 use super::test_cell::{batch, service, wait_until, TestCell};
 
-/// Partition that holds team billing in a cell of six team partitions.
+/// Returns the key of the team partition of team billing in a cell with six team partitions.
 fn team_partition() -> String {
     let plan = bankvalve_cell::machine::PartitionPlan {
         regions: vec!["tasmania".into()],
--- a/crates/bankvalve/tests/cell/test_cell.rs
+++ b/crates/bankvalve/tests/cell/test_cell.rs
@@ -1,4 +1,4 @@
-//! A cell of real `serve` processes and a stand-in platform.
+//! Test fixture: a cell of real `serve` processes with a simulated platform.
 
 use std::collections::BTreeMap;
 use std::io::{BufRead, BufReader};
@@ -20,14 +20,14 @@
 use serde::Deserialize;
 use serde_json::{json, Value};
 
-/// Longest that anything is waited for; never reached when all goes well.
+/// Time after which `wait_until` fails the test.
 pub(crate) const LONGEST: Duration = Duration::from_secs(90);
-/// Time between two looks at a condition.
+/// Interval at which `wait_until` checks its condition.
 const LOOK: Duration = Duration::from_millis(30);
-/// Key that all instances share.
+/// Key with which the instances sign their requests to each other.
 pub(crate) const PEER_KEY: &str = "peer-key-of-the-tests";
 
-/// A run of an attempt, as the stand-in workers saw it.
+/// A run of an attempt, as the simulated workers recorded it.
 #[derive(Clone, Debug, Deserialize)]
 pub(crate) struct RunView {
     pub(crate) worker: String,
@@ -36,7 +36,7 @@
     pub(crate) ended: Option<u64>,
 }
 
-/// A `serve` process.
+/// A running `serve` process and its addresses.
 pub(crate) struct EntryProcess {
     pub(crate) child: Child,
     pub(crate) callers: String,
@@ -45,7 +45,7 @@
     log: Arc<Mutex<Vec<String>>>,
 }
 
-/// A cell of real processes.
+/// A cell of `serve` processes with a simulated platform. Dropping it kills the processes.
 pub(crate) struct TestCell {
     pub(crate) platform: PlatformStandin,
     pub(crate) entries: Vec<Option<EntryProcess>>,
@@ -53,11 +53,11 @@
     secret: String,
     limits: Value,
     workers: usize,
-    /// Certificate of the callers' listeners in PEM, if they encrypt.
+    /// Certificate of the callers' listeners in PEM format, or `None` if they do not use TLS.
     certificate: Option<String>,
 }
 
-/// Waits until a condition holds.
+/// Waits until a condition holds; panics if it does not hold within `LONGEST`.
 pub(crate) fn wait_until(what: &str, mut holds: impl FnMut() -> bool) {
     let begun = Instant::now();
     while !holds() {
@@ -75,7 +75,7 @@
         Self::start_any(entries, workers, limits, false)
     }
 
-    /// Starts a cell whose callers' listeners encrypt.
+    /// Starts a cell whose callers' listeners use TLS.
     pub(crate) fn start_encrypted(entries: usize, workers: u32) -> Self {
         Self::start_any(entries, workers, json!({}), true)
     }
@@ -153,7 +153,7 @@
         ApiClient::new(self.client_settings(entries)).unwrap()
     }
 
-    /// Starts an instance, anew if it ran before.
+    /// Starts or restarts an instance.
     pub(crate) fn start_entry(&mut self, index: usize) {
         let process = self.spawn(index);
         self.entries[index] = Some(process);
@@ -164,14 +164,14 @@
         kill(Pid::from_raw(process.child.id() as i32), signal).unwrap();
     }
 
-    /// Kills an instance.
+    /// Kills an instance with SIGKILL and waits for its end.
     pub(crate) fn kill_entry(&mut self, index: usize) {
         self.signal(index, Signal::SIGKILL);
         let mut process = self.entries[index].take().unwrap();
         process.child.wait().unwrap();
     }
 
-    /// Waits until an instance has ended by itself.
+    /// Waits until the process of an instance exits, and returns its exit status.
     pub(crate) fn wait_for_end(&mut self, index: usize) -> ExitStatus {
         let mut process = self.entries[index].take().unwrap();
         let mut status = None;
@@ -182,7 +182,7 @@
         status.unwrap()
     }
 
-    /// Names of the instances that own partitions, as one of them sees it.
+    /// Waits until a partition has an owner, and returns the owner's name.
     pub(crate) fn owner_of(&self, partition: &str) -> String {
         let mut owner = String::new();
         wait_until("a partition has an owner", || {
@@ -250,7 +250,7 @@
         });
     }
 
-    /// Checks what ran: no task in two places at once, no worker overfull.
+    /// Checks that no two runs of a task overlapped and that no worker was over its capacity.
     pub(crate) fn assert_runs_sound(&self) {
         let mut runs = self.runs();
         runs.sort_by_key(|run| run.started);
@@ -265,7 +265,7 @@
         assert_eq!(self.platform_json("stats")["overfull_workers"], json!(0));
     }
 
-    /// Checks that no instance has seen one of its invariants broken.
+    /// Checks that no instance has counted a broken invariant.
     pub(crate) fn assert_no_breach(&self) {
         for (index, entry) in self.entries.iter().enumerate() {
             if let Some(entry) = entry {
@@ -408,7 +408,7 @@
     format!("token-of-{team}")
 }
 
-/// A batch job of the tests.
+/// Returns a batch job of team billing.
 pub(crate) fn batch(id: &str, tasks: u32, run_time_ms: u64) -> JobSpec {
     JobSpec {
         id: id.into(),
@@ -427,7 +427,7 @@
     }
 }
 
-/// A service of the tests.
+/// Returns a service job of team billing.
 pub(crate) fn service(id: &str, replicas: u32) -> JobSpec {
     JobSpec {
         kind: JobKind::Service {
