--- a/crates/bankvalve/src/api/admin_api.rs
+++ b/crates/bankvalve/src/api/admin_api.rs
@@ -9,7 +9,7 @@
 use crate::serve::CoreHandle;
 
 /// Content type of the metrics in Prometheus text format.
-const METRICS: &str = "text/plain; version=0.0.4";
+const METRICS_CONTENT_TYPE: &str = "text/plain; version=0.0.4";
 
 /// HTTP interface for monitoring.
 #[derive(Clone, Debug)]
@@ -34,7 +34,9 @@
                 HttpAnswer::new(200, "text/plain", "ready\n")
             }
             (&Method::GET, "/readyz") => HttpAnswer::new(503, "text/plain", "not ready\n"),
-            (&Method::GET, "/metrics") => HttpAnswer::new(200, METRICS, self.metrics.render()),
+            (&Method::GET, "/metrics") => {
+                HttpAnswer::new(200, METRICS_CONTENT_TYPE, self.metrics.render())
+            }
             _ => HttpAnswer::empty(404),
         }
     }
--- a/crates/bankvalve/src/api/caller_api.rs
+++ b/crates/bankvalve/src/api/caller_api.rs
@@ -16,11 +16,11 @@
 use crate::serve::{CoreHandle, RecordReader, RequestOutcome, RequestRouter, ServiceRequest};
 
 /// Time limit of a service request without the header `bankvalve-deadline-ms`.
-const DEFAULT_DEADLINE: Duration = Duration::from_secs(5);
+const DEFAULT_TIMEOUT: Duration = Duration::from_secs(5);
 /// Longest time limit of a service request; longer ones are shortened to this.
-const LONGEST_DEADLINE: Duration = Duration::from_secs(50);
+const MAX_TIMEOUT: Duration = Duration::from_secs(50);
 /// Time after which a caller may retry a refused request, in milliseconds.
-const COME_BACK_MS: u64 = 200;
+const RETRY_AFTER_MS: u64 = 200;
 
 /// Authenticated sender of a request.
 enum Sender {
@@ -90,18 +90,18 @@
             (&Method::GET, ["v1", "jobs", team]) => {
                 self.check_team(request, team)?;
                 let team = (*team).to_owned();
-                self.ask("jobs", CallerCommand::Jobs { team }).await
+                self.run_command("jobs", CallerCommand::Jobs { team }).await
             }
             (&Method::GET, ["v1", "jobs", team, job]) => {
                 self.check_team(request, team)?;
                 let (team, job) = ((*team).to_owned(), (*job).to_owned());
-                self.ask("status", CallerCommand::Status { team, job })
+                self.run_command("status", CallerCommand::Status { team, job })
                     .await
             }
             (&Method::DELETE, ["v1", "jobs", team, job]) => {
                 self.check_team(request, team)?;
                 let (team, job) = ((*team).to_owned(), (*job).to_owned());
-                self.ask("cancel", CallerCommand::Cancel { team, job })
+                self.run_command("cancel", CallerCommand::Cancel { team, job })
                     .await
             }
             (&Method::POST, ["v1", "services", team, service, "requests"]) => {
@@ -122,27 +122,32 @@
 
     async fn route_operator(&self, request: &HttpRequest, parts: &[&str]) -> ApiResult {
         match (&request.method, parts) {
-            (&Method::GET, ["v1", "workers"]) => self.ask("workers", CallerCommand::Workers).await,
+            (&Method::GET, ["v1", "workers"]) => {
+                self.run_command("workers", CallerCommand::Workers).await
+            }
             (&Method::POST, ["v1", "workers", worker, "drain"]) => {
                 let body: DrainBody = parse_body("drain", request)?;
                 let command = CallerCommand::DrainWorker {
                     worker: (*worker).to_owned(),
                     drain: body.drain,
                 };
-                self.ask("drain", command).await
+                self.run_command("drain", command).await
             }
             (&Method::GET, ["v1", "instances"]) => {
-                self.ask("instances", CallerCommand::Instances).await
+                self.run_command("instances", CallerCommand::Instances)
+                    .await
             }
             (&Method::POST, ["v1", "instances", instance, "drain"]) => {
                 let instance = (*instance).to_owned();
-                self.ask("drain", CallerCommand::DrainInstance { instance })
+                self.run_command("drain", CallerCommand::DrainInstance { instance })
                     .await
             }
-            (&Method::GET, ["v1", "bundle"]) => self.ask("bundle", CallerCommand::Bundle).await,
+            (&Method::GET, ["v1", "bundle"]) => {
+                self.run_command("bundle", CallerCommand::Bundle).await
+            }
             (&Method::POST, ["v1", "bundle"]) => {
                 let bundle: Box<CellBundle> = parse_body("bundle", request)?;
-                self.ask("bundle", CallerCommand::AcceptBundle { bundle })
+                self.run_command("bundle", CallerCommand::AcceptBundle { bundle })
                     .await
             }
             (&Method::POST, ["v1", "log-level"]) => set_level(request),
@@ -153,10 +158,11 @@
     async fn submit(&self, request: &HttpRequest) -> ApiResult {
         let spec: Box<JobSpec> = parse_body("submit", request)?;
         self.check_caller(request, &spec.team)?;
-        self.ask("submit", CallerCommand::Submit { spec }).await
+        self.run_command("submit", CallerCommand::Submit { spec })
+            .await
     }
 
-    async fn ask(&self, step: &str, command: CallerCommand) -> ApiResult {
+    async fn run_command(&self, step: &str, command: CallerCommand) -> ApiResult {
         let answer = self.core.command(command).await;
         match answer {
             CallerAnswer::NotRun(refusal) => Err(Box::new(ErrorBody::refused(step, refusal))),
@@ -201,21 +207,21 @@
 
     async fn serve(&self, request: &HttpRequest, team: &str, service: &str) -> ApiResult {
         let id = request.header("bankvalve-request").unwrap_or_default();
-        let patience = header_ms(request, "bankvalve-deadline-ms");
-        let patience = patience.unwrap_or(DEFAULT_DEADLINE).min(LONGEST_DEADLINE);
-        let carried = ServiceRequest {
+        let timeout = header_ms(request, "bankvalve-deadline-ms");
+        let timeout = timeout.unwrap_or(DEFAULT_TIMEOUT).min(MAX_TIMEOUT);
+        let forwarded = ServiceRequest {
             team: team.to_owned(),
             service: service.to_owned(),
             id: id.to_owned(),
-            deadline: Instant::now() + patience,
+            deadline: Instant::now() + timeout,
             repeatable: request.header("bankvalve-repeatable") != Some("false"),
             body: request.body.clone(),
         };
-        match self.router.carry(&carried).await {
+        match self.router.forward(&forwarded).await {
             RequestOutcome::Answered(status, body) => Ok(HttpAnswer::new(status, JSON, body)),
             RequestOutcome::NotRun(reason) => {
                 let detail = "no target took the request; it did not run";
-                let refusal = Refusal::temporary(reason, detail, COME_BACK_MS);
+                let refusal = Refusal::temporary(reason, detail, RETRY_AFTER_MS);
                 Err(Box::new(ErrorBody::refused("request", refusal)))
             }
             RequestOutcome::Unknown => {
@@ -232,7 +238,7 @@
             Ok(entries) => json(200, &entries),
             Err(detail) => {
                 let reason = RefusalReason::StoreUnavailable;
-                let refusal = Refusal::temporary(reason, detail, COME_BACK_MS);
+                let refusal = Refusal::temporary(reason, detail, RETRY_AFTER_MS);
                 Err(Box::new(ErrorBody::refused("record", refusal)))
             }
         }
--- a/crates/bankvalve/src/api/peer_api.rs
+++ b/crates/bankvalve/src/api/peer_api.rs
@@ -11,9 +11,9 @@
 use crate::serve::{CoreHandle, RequestOutcome, RequestRouter, ServiceRequest};
 
 /// Time limit of a service request without the header `bankvalve-deadline-ms`.
-const DEFAULT_DEADLINE: Duration = Duration::from_secs(5);
+const DEFAULT_TIMEOUT: Duration = Duration::from_secs(5);
 /// Content type of a service's answer.
-const CONTENT: &str = "application/octet-stream";
+const CONTENT_TYPE: &str = "application/octet-stream";
 
 /// HTTP interface between entry instances.
 #[derive(Clone, Debug)]
@@ -40,44 +40,48 @@
         let path = request.path.clone();
         let parts: Vec<&str> = path.trim_matches('/').split('/').collect();
         match (&request.method, parts.as_slice()) {
-            (&Method::POST, ["peer", "batch"]) => self.take_batch(&request),
+            (&Method::POST, ["peer", "batch"]) => self.handle_batch(&request),
             (&Method::POST, ["peer", "requests", team, service, worker]) => {
-                self.carry(&request, team, service, worker).await
+                self.forward(&request, team, service, worker).await
             }
             _ => HttpAnswer::empty(404),
         }
     }
 
-    fn take_batch(&self, request: &HttpRequest) -> HttpAnswer {
+    fn handle_batch(&self, request: &HttpRequest) -> HttpAnswer {
         let Some(batch) = decode_message::<PeerBatch>(&request.body) else {
             return HttpAnswer::new(400, "text/plain", "expected an encoded batch");
         };
-        if self.core.give(CoreEvent::Peer(batch)) {
+        if self.core.send_event(CoreEvent::Peer(batch)) {
             HttpAnswer::empty(204)
         } else {
             HttpAnswer::empty(503)
         }
     }
 
-    async fn carry(
+    async fn forward(
         &self,
         request: &HttpRequest,
         team: &str,
         service: &str,
         worker: &str,
     ) -> HttpAnswer {
-        let patience = header_ms(request, "bankvalve-deadline-ms").unwrap_or(DEFAULT_DEADLINE);
+        let timeout = header_ms(request, "bankvalve-deadline-ms").unwrap_or(DEFAULT_TIMEOUT);
         let id = request.header("bankvalve-request").unwrap_or_default();
-        let carried = ServiceRequest {
+        let forwarded = ServiceRequest {
             team: team.to_owned(),
             service: service.to_owned(),
             id: id.to_owned(),
-            deadline: Instant::now() + patience,
+            deadline: Instant::now() + timeout,
             repeatable: false,
             body: request.body.clone(),
         };
-        match self.router.carry_to_own(worker, &carried).await {
-            RequestOutcome::Answered(status, body) => HttpAnswer::new(status, CONTENT, body),
+        match self
+            .router
+            .forward_to_owned_worker(worker, &forwarded)
+            .await
+        {
+            RequestOutcome::Answered(status, body) => HttpAnswer::new(status, CONTENT_TYPE, body),
             RequestOutcome::NotRun(reason) => HttpAnswer::new(
                 crate::serve::PEER_NOT_RUN,
                 "text/plain",
--- a/crates/bankvalve/src/serve/core_thread.rs
+++ b/crates/bankvalve/src/serve/core_thread.rs
@@ -17,12 +17,12 @@
 use super::RouteTable;
 
 /// Interval between two ticks of the core.
-const TICK: Duration = Duration::from_millis(20);
+const TICK_INTERVAL: Duration = Duration::from_millis(20);
 /// Interval between two publications of routes and counters.
-const PUBLISH: Duration = Duration::from_millis(100);
+const PUBLISH_INTERVAL: Duration = Duration::from_millis(100);
 /// Time after which a caller may retry when the core's queue is full or the instance is stopping, in
 /// milliseconds.
-const COME_BACK_MS: u64 = 500;
+const RETRY_AFTER_MS: u64 = 500;
 
 /// An input of the core thread.
 pub(super) enum CoreInput {
@@ -96,12 +96,12 @@
     }
 
     /// Sends an event to the core without blocking; returns whether the queue accepted it.
-    pub fn give(&self, event: CoreEvent) -> bool {
-        let given = self.ring.try_send(CoreInput::Event(event)).is_ok();
-        if !given {
+    pub fn send_event(&self, event: CoreEvent) -> bool {
+        let sent = self.ring.try_send(CoreInput::Event(event)).is_ok();
+        if !sent {
             self.shared.ring_full.fetch_add(1, Ordering::Relaxed);
         }
-        given
+        sent
     }
 
     /// Ends the core thread. The links thread ends with it, because its action channel closes.
@@ -118,7 +118,7 @@
                 self.shared.ring_full.fetch_add(1, Ordering::Relaxed);
                 let detail = "too many events wait for the core";
                 let reason = RefusalReason::QueueFull;
-                return CallerAnswer::NotRun(Refusal::temporary(reason, detail, COME_BACK_MS));
+                return CallerAnswer::NotRun(Refusal::temporary(reason, detail, RETRY_AFTER_MS));
             }
             Err(TrySendError::Disconnected(_)) => return stopping(),
         }
@@ -166,7 +166,7 @@
 fn stopping() -> CallerAnswer {
     let detail = "the instance is stopping";
     let reason = RefusalReason::Stopping;
-    CallerAnswer::NotRun(Refusal::temporary(reason, detail, COME_BACK_MS))
+    CallerAnswer::NotRun(Refusal::temporary(reason, detail, RETRY_AFTER_MS))
 }
 
 /// State of the core thread.
@@ -177,7 +177,7 @@
     links: mpsc::Sender<CoreAction>,
     replies: BTreeMap<Ticket, oneshot::Sender<CallerAnswer>>,
     next_ticket: Ticket,
-    breaches_told: u64,
+    breaches_logged: u64,
 }
 
 impl CoreThread {
@@ -193,7 +193,7 @@
             links,
             replies: BTreeMap::new(),
             next_ticket: 1,
-            breaches_told: 0,
+            breaches_logged: 0,
         }
     }
 
@@ -212,11 +212,11 @@
             }
             let now = Instant::now();
             if now >= next_tick {
-                next_tick = now + TICK;
+                next_tick = now + TICK_INTERVAL;
                 self.step(CoreEvent::Tick);
             }
             if now >= next_publication {
-                next_publication = now + PUBLISH;
+                next_publication = now + PUBLISH_INTERVAL;
                 self.publish();
             }
         }
@@ -252,7 +252,7 @@
             action => {
                 if let Err(mpsc::error::TrySendError::Full(action)) = self.links.try_send(action) {
                     self.shared.ring_full.fetch_add(1, Ordering::Relaxed);
-                    self.fail(action);
+                    self.report_unsent(action);
                 }
             }
         }
@@ -261,7 +261,7 @@
     /// Reports to the core that an action was not sent because the queue of the links thread was full.
     ///
     /// Only table requests and worker exchanges are reported; other actions are dropped.
-    fn fail(&mut self, action: CoreAction) {
+    fn report_unsent(&mut self, action: CoreAction) {
         match action {
             CoreAction::Store { ticket, .. } => self.step(CoreEvent::Store {
                 ticket,
@@ -297,11 +297,11 @@
             .tally
             .breaches()
             .iter()
-            .skip(self.breaches_told as usize)
+            .skip(self.breaches_logged as usize)
         {
             log::error!("core: an invariant does not hold: {breach}");
         }
-        self.breaches_told = view.tally.breaches().len() as u64;
+        self.breaches_logged = view.tally.breaches().len() as u64;
         match self.shared.view.lock() {
             Ok(mut shared) => *shared = view,
             Err(error) => *error.into_inner() = view,
--- a/crates/bankvalve/src/serve/instance_process.rs
+++ b/crates/bankvalve/src/serve/instance_process.rs
@@ -14,7 +14,7 @@
 use tokio::sync::mpsc;
 
 use super::core_thread::{unix_millis, CoreThread};
-use super::link_thread::{carry_all, LinkPlan};
+use super::link_thread::{run_links, LinkPlan};
 use super::list_thread::poll_list;
 use super::record_reader::RecordReader;
 use super::{CoreHandle, RequestRouter, ServeFailure};
@@ -23,10 +23,10 @@
 use crate::settings::ServeSettings;
 
 /// Interval at which a planned stop checks whether it is complete.
-const LOOK: Duration = Duration::from_millis(10);
+const STOP_POLL_INTERVAL: Duration = Duration::from_millis(10);
 /// Shortest time for which a stopping instance still accepts requests while `/readyz` reports it as not
 /// ready, so that the load balancer stops sending requests to it first.
-const BALANCER_TIME: Duration = Duration::from_millis(1_500);
+const MIN_NOT_READY_TIME: Duration = Duration::from_millis(1_500);
 
 /// Listening sockets of an instance.
 #[derive(Debug)]
@@ -124,7 +124,7 @@
             .change_context(ServeFailure::Thread)?;
         let link_core = core.clone();
         threads.push(spawn("links", move || {
-            runtime.block_on(carry_all(plan, actions, link_core));
+            runtime.block_on(run_links(plan, actions, link_core));
         })?);
         let stop_list = Arc::new(AtomicBool::new(false));
         threads.push(spawn_list(settings, &stop_list, &core)?);
@@ -225,31 +225,31 @@
     pub fn stop(mut self) -> bool {
         let begun = Instant::now();
         log::info!("serve: instance {} is stopping", self.name);
-        self.core.give(CoreEvent::Stop);
-        let late = |since: Instant| since.elapsed() >= self.stop_time;
-        while !self.core.is_stopped() && !late(begun) {
-            thread::sleep(LOOK);
+        self.core.send_event(CoreEvent::Stop);
+        let timed_out = |since: Instant| since.elapsed() >= self.stop_time;
+        while !self.core.is_stopped() && !timed_out(begun) {
+            thread::sleep(STOP_POLL_INTERVAL);
         }
-        while begun.elapsed() < BALANCER_TIME.min(self.stop_time) {
-            thread::sleep(LOOK);
+        while begun.elapsed() < MIN_NOT_READY_TIME.min(self.stop_time) {
+            thread::sleep(STOP_POLL_INTERVAL);
         }
         let busy = || self.in_flight.load(Ordering::Acquire) > 0;
-        while busy() && !late(begun) {
-            thread::sleep(LOOK);
+        while busy() && !timed_out(begun) {
+            thread::sleep(STOP_POLL_INTERVAL);
         }
-        let whole = self.core.is_stopped() && !busy();
+        let complete = self.core.is_stopped() && !busy();
         log::info!(
             "serve: instance {} stopped after {} ms, {}",
             self.name,
             begun.elapsed().as_millis(),
-            if whole {
+            if complete {
                 "all handed over"
             } else {
                 "not all handed over"
             }
         );
         self.end();
-        whole
+        complete
     }
 
     /// Ends all threads without a handover, as a crash would, except that the HTTP servers are stopped
@@ -287,19 +287,19 @@
     LinkPlan {
         table_url: settings.platform.table_url.clone(),
         objects_url: settings.platform.objects_url.clone(),
-        store_time: Duration::from_millis(settings.timings_ms.store_answer),
-        worker_time: Duration::from_millis(settings.timings_ms.worker_answer),
+        store_timeout: Duration::from_millis(settings.timings_ms.store_answer),
+        worker_timeout: Duration::from_millis(settings.timings_ms.worker_answer),
         signer,
     }
 }
 
 fn spawn(
     name: &str,
-    duty: impl FnOnce() + Send + 'static,
+    body: impl FnOnce() + Send + 'static,
 ) -> Result<JoinHandle<()>, Report<ServeFailure>> {
     thread::Builder::new()
         .name(name.to_owned())
-        .spawn(duty)
+        .spawn(body)
         .change_context(ServeFailure::Thread)
         .attach(name.to_owned())
 }
--- a/crates/bankvalve/src/serve/link_thread.rs
+++ b/crates/bankvalve/src/serve/link_thread.rs
@@ -19,49 +19,50 @@
 /// HTTP path to which peers post message batches.
 pub(crate) const BATCH_PATH: &str = "/peer/batch";
 /// Largest number of batches queued for one peer.
-const PEER_RING: usize = 64;
+const PEER_QUEUE_BATCHES: usize = 64;
 /// Time within which a peer must answer a batch.
-const PEER_TIME: Duration = Duration::from_secs(1);
+const PEER_TIMEOUT: Duration = Duration::from_secs(1);
 /// Largest number of idle connections pooled for each host.
-const IDLE: usize = 8;
+const MAX_IDLE_CONNECTIONS: usize = 8;
 /// Largest reply that is read, in bytes.
-const REPLY_BYTES: usize = 64 * 1024 * 1024;
+const MAX_REPLY_BYTES: usize = 64 * 1024 * 1024;
 
 /// Addresses, timeouts and signing key of the links thread.
 #[derive(Clone, Debug)]
 pub(super) struct LinkPlan {
     pub(super) table_url: String,
     pub(super) objects_url: String,
-    pub(super) store_time: Duration,
-    pub(super) worker_time: Duration,
+    pub(super) store_timeout: Duration,
+    pub(super) worker_timeout: Duration,
     pub(super) signer: PeerSigner,
 }
 
 /// Performs the core's actions until the channel is closed.
 ///
 /// Each request runs as its own task; batches to one peer go through a queue so that they stay in order.
-pub(super) async fn carry_all(
+pub(super) async fn run_links(
     plan: LinkPlan,
     mut ring: mpsc::Receiver<CoreAction>,
     core: CoreHandle,
 ) {
-    let client = HttpClient::new(IDLE, REPLY_BYTES);
+    let client = HttpClient::new(MAX_IDLE_CONNECTIONS, MAX_REPLY_BYTES);
     let mut peers = BTreeMap::<String, mpsc::Sender<PeerBatch>>::new();
     while let Some(action) = ring.recv().await {
         match action {
             CoreAction::Store { ticket, request } => {
                 let (client, core, plan) = (client.clone(), core.clone(), plan.clone());
                 tokio::spawn(async move {
-                    let outcome = ask_table(&client, &plan, &request).await;
-                    core.give(CoreEvent::Store { ticket, outcome });
+                    let outcome = send_table_request(&client, &plan, &request).await;
+                    core.send_event(CoreEvent::Store { ticket, outcome });
                 });
             }
             CoreAction::Object { ticket, request } => {
                 let (client, core, plan) = (client.clone(), core.clone(), plan.clone());
                 tokio::spawn(async move {
                     let url = &plan.objects_url;
-                    let outcome = ask_objects(&client, url, plan.store_time, &request).await;
-                    core.give(CoreEvent::Object { ticket, outcome });
+                    let outcome =
+                        send_object_request(&client, url, plan.store_timeout, &request).await;
+                    core.send_event(CoreEvent::Object { ticket, outcome });
                 });
             }
             CoreAction::Worker {
@@ -73,8 +74,8 @@
                 let (client, core, plan) = (client.clone(), core.clone(), plan.clone());
                 tokio::spawn(async move {
                     let token = exchange.token;
-                    let answer = ask_worker(&client, &plan, &address, &exchange).await;
-                    core.give(CoreEvent::Worker {
+                    let answer = send_worker_exchange(&client, &plan, &address, &exchange).await;
+                    core.send_event(CoreEvent::Worker {
                         partition,
                         worker,
                         token,
@@ -84,10 +85,10 @@
             }
             CoreAction::Peer { address, batch, .. } => {
                 let sender = peers.entry(address.clone()).or_insert_with(|| {
-                    let (sender, batches) = mpsc::channel(PEER_RING);
-                    let carrying =
-                        carry_batches(address, batches, client.clone(), plan.signer.clone());
-                    tokio::spawn(carrying);
+                    let (sender, batches) = mpsc::channel(PEER_QUEUE_BATCHES);
+                    let sending =
+                        send_batches(address, batches, client.clone(), plan.signer.clone());
+                    tokio::spawn(sending);
                     sender
                 });
                 if sender.try_send(batch).is_err() {
@@ -100,7 +101,7 @@
 }
 
 /// Sends batches to one peer, one after the other. A batch that fails is dropped.
-async fn carry_batches(
+async fn send_batches(
     address: String,
     mut batches: mpsc::Receiver<PeerBatch>,
     client: HttpClient,
@@ -111,7 +112,7 @@
         let body = encode_message(&batch);
         let headers = [signer.header(BATCH_PATH, &body)];
         let sent = client
-            .send(Method::POST, &url, &headers, WIRE_TYPE, body, PEER_TIME)
+            .send(Method::POST, &url, &headers, WIRE_TYPE, body, PEER_TIMEOUT)
             .await;
         if let Err(failure) = sent {
             log::debug!("links: a batch to peer {address} was dropped: {failure}");
@@ -119,7 +120,11 @@
     }
 }
 
-async fn ask_table(client: &HttpClient, plan: &LinkPlan, request: &StoreRequest) -> StoreOutcome {
+async fn send_table_request(
+    client: &HttpClient,
+    plan: &LinkPlan,
+    request: &StoreRequest,
+) -> StoreOutcome {
     let body = encode_message(request);
     let sent = client
         .send(
@@ -128,7 +133,7 @@
             &[],
             WIRE_TYPE,
             body,
-            plan.store_time,
+            plan.store_timeout,
         )
         .await;
     match sent {
@@ -142,7 +147,7 @@
 }
 
 /// Sends a request to the object store; any failure becomes `ObjectOutcome::Failed`.
-pub(super) async fn ask_objects(
+pub(super) async fn send_object_request(
     client: &HttpClient,
     url: &str,
     time: Duration,
@@ -158,7 +163,7 @@
         .unwrap_or(ObjectOutcome::Failed)
 }
 
-async fn ask_worker(
+async fn send_worker_exchange(
     client: &HttpClient,
     plan: &LinkPlan,
     address: &str,
@@ -167,7 +172,14 @@
     let url = format!("{address}/exchange");
     let body = encode_message(exchange);
     let sent = client
-        .send(Method::POST, &url, &[], WIRE_TYPE, body, plan.worker_time)
+        .send(
+            Method::POST,
+            &url,
+            &[],
+            WIRE_TYPE,
+            body,
+            plan.worker_timeout,
+        )
         .await;
     match sent {
         Ok(reply) => decode_ok(&reply).ok_or(LinkFailure::NoAnswer),
--- a/crates/bankvalve/src/serve/list_thread.rs
+++ b/crates/bankvalve/src/serve/list_thread.rs
@@ -11,9 +11,9 @@
 use super::CoreHandle;
 
 /// Timeout for connecting to the list's URL, and for reading the list.
-const READ_TIME: Duration = Duration::from_secs(3);
+const READ_TIMEOUT: Duration = Duration::from_secs(3);
 /// Longest time between two checks of the stop flag.
-const LOOK: Duration = Duration::from_millis(50);
+const STOP_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Polls the list until `stop` is set.
 ///
@@ -25,7 +25,7 @@
         match read_list(url) {
             Ok(listed) => {
                 failing = false;
-                core.give(CoreEvent::List(listed));
+                core.send_event(CoreEvent::List(listed));
             }
             Err(error) if !failing => {
                 failing = true;
@@ -35,16 +35,16 @@
         }
         let mut waited = Duration::ZERO;
         while waited < pause && !stop.load(Ordering::Acquire) {
-            thread::sleep(LOOK.min(pause));
-            waited += LOOK;
+            thread::sleep(STOP_CHECK_INTERVAL.min(pause));
+            waited += STOP_CHECK_INTERVAL;
         }
     }
 }
 
 fn read_list(url: &str) -> Result<Vec<ListedWorker>, String> {
     let response = attohttpc::get(url)
-        .connect_timeout(READ_TIME)
-        .timeout(READ_TIME)
+        .connect_timeout(READ_TIMEOUT)
+        .timeout(READ_TIMEOUT)
         .send()
         .map_err(|error| error.to_string())?;
     let bytes = response.bytes().map_err(|error| error.to_string())?;
--- a/crates/bankvalve/src/serve/record_reader.rs
+++ b/crates/bankvalve/src/serve/record_reader.rs
@@ -11,14 +11,14 @@
 use hyper::Method;
 use serde::{Deserialize, Serialize};
 
-use super::link_thread::ask_objects;
+use super::link_thread::send_object_request;
 
 /// Timeout of each request to the table service or the object store.
-const READ_TIME: Duration = Duration::from_secs(5);
+const READ_TIMEOUT: Duration = Duration::from_secs(5);
 /// Largest number of idle connections pooled for each host.
-const IDLE: usize = 2;
+const MAX_IDLE_CONNECTIONS: usize = 2;
 /// Largest reply that is read, in bytes.
-const REPLY_BYTES: usize = 64 * 1024 * 1024;
+const MAX_REPLY_BYTES: usize = 64 * 1024 * 1024;
 
 /// One ledger event with the batch that holds it.
 #[derive(Clone, Debug, Serialize, Deserialize)]
@@ -44,7 +44,7 @@
 impl RecordReader {
     pub(super) fn new(table_url: &str, objects_url: &str) -> Self {
         Self {
-            client: HttpClient::new(IDLE, REPLY_BYTES),
+            client: HttpClient::new(MAX_IDLE_CONNECTIONS, MAX_REPLY_BYTES),
             table_url: table_url.to_owned(),
             objects_url: objects_url.to_owned(),
         }
@@ -123,7 +123,7 @@
                 &[],
                 WIRE_TYPE,
                 request,
-                READ_TIME,
+                READ_TIMEOUT,
             )
             .await
             .map_err(|failure| format!("the table service: {failure}"))?;
@@ -136,7 +136,7 @@
     async fn segment_names(&self, partition: u32) -> Result<Vec<String>, String> {
         let prefix = format!("record/{partition:04}/");
         let request = ObjectRequest::List { prefix };
-        match ask_objects(&self.client, &self.objects_url, READ_TIME, &request).await {
+        match send_object_request(&self.client, &self.objects_url, READ_TIMEOUT, &request).await {
             ObjectOutcome::Names(names) => Ok(names),
             _ => Err("the object store does not answer".into()),
         }
@@ -145,7 +145,8 @@
     async fn segment(&self, name: &str) -> Result<Vec<Vec<u8>>, String> {
         let name = name.to_owned();
         let request = ObjectRequest::Get { name: name.clone() };
-        let outcome = ask_objects(&self.client, &self.objects_url, READ_TIME, &request).await;
+        let outcome =
+            send_object_request(&self.client, &self.objects_url, READ_TIMEOUT, &request).await;
         let ObjectOutcome::Content(Some(bytes)) = outcome else {
             return Err(format!("segment {name} cannot be read"));
         };
--- a/crates/bankvalve/src/serve/request_router.rs
+++ b/crates/bankvalve/src/serve/request_router.rs
@@ -15,22 +15,22 @@
 use super::CoreHandle;
 
 /// Largest number of endpoints that one request is sent to.
-const TRY_LIMIT: usize = 4;
+const MAX_TRIES: usize = 4;
 /// Amount that each request adds to the retry budget, in thousandths of a retry.
-const BUDGET_EARNED: u64 = 100;
+const RETRY_BUDGET_EARNED: u64 = 100;
 /// Amount that a retry takes from the retry budget, in thousandths of a retry.
-const BUDGET_COST: u64 = 1_000;
+const RETRY_BUDGET_COST: u64 = 1_000;
 /// Upper limit of the retry budget, in thousandths of a retry.
-const BUDGET_LIMIT: u64 = 50_000;
+const RETRY_BUDGET_LIMIT: u64 = 50_000;
 /// Time subtracted from the deadline sent to a peer, so that the peer's answer arrives before the caller's
 /// deadline.
-const HOP_TIME: Duration = Duration::from_millis(5);
+const HOP_MARGIN: Duration = Duration::from_millis(5);
 /// Largest number of idle connections pooled for each host.
-const IDLE: usize = 64;
+const MAX_IDLE_CONNECTIONS: usize = 64;
 /// Largest answer of a service that is read, in bytes.
-const ANSWER_BYTES: usize = 16 * 1024 * 1024;
+const MAX_ANSWER_BYTES: usize = 16 * 1024 * 1024;
 /// Content type of requests to services.
-const CONTENT: &str = "application/octet-stream";
+const CONTENT_TYPE: &str = "application/octet-stream";
 
 /// A request to a service.
 #[derive(Clone, Debug)]
@@ -70,14 +70,14 @@
 
 impl RetryBudget {
     fn earn(&self) {
-        let more = |saved: u64| Some((saved + BUDGET_EARNED).min(BUDGET_LIMIT));
+        let more = |saved: u64| Some((saved + RETRY_BUDGET_EARNED).min(RETRY_BUDGET_LIMIT));
         let _ = self
             .saved
             .fetch_update(Ordering::AcqRel, Ordering::Acquire, more);
     }
 
     fn spend(&self) -> bool {
-        let less = |saved: u64| saved.checked_sub(BUDGET_COST);
+        let less = |saved: u64| saved.checked_sub(RETRY_BUDGET_COST);
         self.saved
             .fetch_update(Ordering::AcqRel, Ordering::Acquire, less)
             .is_ok()
@@ -125,12 +125,12 @@
     pub(super) fn new(core: CoreHandle, signer: PeerSigner, name: &str, domain: &str) -> Self {
         Self {
             core,
-            client: HttpClient::new(IDLE, ANSWER_BYTES),
+            client: HttpClient::new(MAX_IDLE_CONNECTIONS, MAX_ANSWER_BYTES),
             signer,
             name: name.to_owned(),
             domain: domain.to_owned(),
             budget: Arc::new(RetryBudget {
-                saved: AtomicU64::new(BUDGET_LIMIT),
+                saved: AtomicU64::new(RETRY_BUDGET_LIMIT),
             }),
             counters: Arc::new(RouterCounters::default()),
         }
@@ -140,7 +140,7 @@
     /// shared.
     pub(super) fn for_other_runtime(&self) -> Self {
         Self {
-            client: HttpClient::new(IDLE, ANSWER_BYTES),
+            client: HttpClient::new(MAX_IDLE_CONNECTIONS, MAX_ANSWER_BYTES),
             ..self.clone()
         }
     }
@@ -167,14 +167,14 @@
     /// deadline.
     ///
     /// Retries only a request that is known not to have run, or that is repeatable.
-    pub async fn carry(&self, request: &ServiceRequest) -> RequestOutcome {
+    pub async fn forward(&self, request: &ServiceRequest) -> RequestOutcome {
         self.budget.earn();
         let routes = self.core.routes();
-        let mut points = self.order_points(routes.points_of(&request.team, &request.service));
-        points.truncate(TRY_LIMIT);
+        let mut candidates = self.order_routes(routes.routes_of(&request.team, &request.service));
+        candidates.truncate(MAX_TRIES);
         let mut last = RefusalReason::UnknownService;
-        let mut doubtful = false;
-        for (index, point) in points.iter().enumerate() {
+        let mut may_have_run = false;
+        for (index, candidate) in candidates.iter().enumerate() {
             if index > 0 && !self.budget.spend() {
                 break;
             }
@@ -182,19 +182,19 @@
                 last = RefusalReason::DeadlinePassed;
                 break;
             }
-            match self.try_point(&routes, point, request).await {
+            match self.try_route(&routes, candidate, request).await {
                 RequestOutcome::NotRun(reason) => {
                     last = reason;
                     self.count_retry(RetryReason::RequestNotRun);
                 }
                 RequestOutcome::Unknown if request.repeatable => {
-                    doubtful = true;
+                    may_have_run = true;
                     self.count_retry(RetryReason::WorkerAnswerLost);
                 }
                 outcome => return self.counted(outcome),
             }
         }
-        self.counted(if doubtful {
+        self.counted(if may_have_run {
             RequestOutcome::Unknown
         } else {
             RequestOutcome::NotRun(last)
@@ -202,37 +202,41 @@
     }
 
     /// Forwards a request from a peer to a worker that this instance owns.
-    pub async fn carry_to_own(&self, worker: &str, request: &ServiceRequest) -> RequestOutcome {
+    pub async fn forward_to_owned_worker(
+        &self,
+        worker: &str,
+        request: &ServiceRequest,
+    ) -> RequestOutcome {
         let routes = self.core.routes();
         self.send_to_worker(&routes, worker, request).await
     }
 
     /// Orders routes: workers owned by this instance first, then workers of its failure domain, otherwise at
     /// random.
-    fn order_points<'a>(&self, points: &'a [ServiceRoute]) -> Vec<&'a ServiceRoute> {
-        let mut ordered: Vec<&ServiceRoute> = points.iter().collect();
+    fn order_routes<'a>(&self, candidates: &'a [ServiceRoute]) -> Vec<&'a ServiceRoute> {
+        let mut ordered: Vec<&ServiceRoute> = candidates.iter().collect();
         ordered.shuffle(&mut rand::rng());
-        ordered.sort_by_key(|point| {
-            let own = point.owner == self.name;
-            let near = point.endpoint.domain == self.domain;
-            (!own, !near)
+        ordered.sort_by_key(|candidate| {
+            let own = candidate.owner == self.name;
+            let same_domain = candidate.endpoint.domain == self.domain;
+            (!own, !same_domain)
         });
         ordered
     }
 
-    async fn try_point(
+    async fn try_route(
         &self,
         routes: &RouteTable,
-        point: &ServiceRoute,
+        candidate: &ServiceRoute,
         request: &ServiceRequest,
     ) -> RequestOutcome {
-        if point.owner == self.name {
+        if candidate.owner == self.name {
             return self
-                .send_to_worker(routes, &point.endpoint.worker, request)
+                .send_to_worker(routes, &candidate.endpoint.worker, request)
                 .await;
         }
         self.counters.hops.fetch_add(1, Ordering::Relaxed);
-        self.send_to_peer(point, request).await
+        self.send_to_peer(candidate, request).await
     }
 
     async fn send_to_worker(
@@ -241,7 +245,7 @@
         worker: &str,
         request: &ServiceRequest,
     ) -> RequestOutcome {
-        let Some(gated) = routes.own_worker(worker) else {
+        let Some(gated) = routes.owned_worker(worker) else {
             return RequestOutcome::NotRun(RefusalReason::StaleEpoch);
         };
         let Some(_permit) = SlotGate::acquire(&gated.gate) else {
@@ -266,14 +270,18 @@
         }
     }
 
-    async fn send_to_peer(&self, point: &ServiceRoute, request: &ServiceRequest) -> RequestOutcome {
+    async fn send_to_peer(
+        &self,
+        candidate: &ServiceRoute,
+        request: &ServiceRequest,
+    ) -> RequestOutcome {
         let path = format!(
             "/peer/requests/{}/{}/{}",
-            request.team, request.service, point.endpoint.worker
+            request.team, request.service, candidate.endpoint.worker
         );
-        let url = format!("http://{}{path}", point.owner_address);
+        let url = format!("http://{}{path}", candidate.owner_address);
         let left = request.deadline.saturating_duration_since(Instant::now());
-        let left = left.saturating_sub(HOP_TIME);
+        let left = left.saturating_sub(HOP_MARGIN);
         let headers = [
             self.signer.header(&path, &request.body),
             ("bankvalve-request", request.id.clone()),
@@ -298,7 +306,7 @@
         let body = request.body.clone();
         let reply = self
             .client
-            .send(Method::POST, url, headers, CONTENT, body, time)
+            .send(Method::POST, url, headers, CONTENT_TYPE, body, time)
             .await?;
         Ok((reply.status, reply.body))
     }
--- a/crates/bankvalve/src/serve/route_table.rs
+++ b/crates/bankvalve/src/serve/route_table.rs
@@ -73,40 +73,40 @@
 /// Routes to running tasks by team and service, and the workers owned by this instance.
 #[derive(Clone, Debug, Default)]
 pub struct RouteTable {
-    points: BTreeMap<(String, String), Vec<ServiceRoute>>,
-    own: BTreeMap<String, GatedWorker>,
+    service_routes: BTreeMap<(String, String), Vec<ServiceRoute>>,
+    owned: BTreeMap<String, GatedWorker>,
 }
 
 impl RouteTable {
     /// Creates the next table. Workers that are in both tables keep their gates, and with them their slots in
     /// use.
-    pub fn next(&self, points: Vec<ServiceRoute>, own: Vec<OwnedWorker>) -> Self {
+    pub fn next(&self, service_routes: Vec<ServiceRoute>, owned: Vec<OwnedWorker>) -> Self {
         let mut table = Self::default();
-        for point in points {
+        for route in service_routes {
             let name = (
-                point.endpoint.key.team.clone(),
-                point.endpoint.service.clone(),
+                route.endpoint.key.team.clone(),
+                route.endpoint.service.clone(),
             );
-            table.points.entry(name).or_default().push(point);
+            table.service_routes.entry(name).or_default().push(route);
         }
-        for worker in own {
-            let known = self.own.get(&worker.name).map(|known| known.gate.clone());
+        for worker in owned {
+            let known = self.owned.get(&worker.name).map(|known| known.gate.clone());
             let fresh = || Arc::new(SlotGate::new(worker.slots, worker.connections));
             let gate = known.unwrap_or_else(fresh);
             table
-                .own
+                .owned
                 .insert(worker.name.clone(), GatedWorker { worker, gate });
         }
         table
     }
 
     /// Returns the routes to the running tasks of a team's service.
-    pub fn points_of(&self, team: &str, service: &str) -> &[ServiceRoute] {
+    pub fn routes_of(&self, team: &str, service: &str) -> &[ServiceRoute] {
         let name = (team.to_owned(), service.to_owned());
-        self.points.get(&name).map_or(&[], Vec::as_slice)
+        self.service_routes.get(&name).map_or(&[], Vec::as_slice)
     }
 
-    pub(super) fn own_worker(&self, name: &str) -> Option<&GatedWorker> {
-        self.own.get(name)
+    pub(super) fn owned_worker(&self, name: &str) -> Option<&GatedWorker> {
+        self.owned.get(name)
     }
 }
--- a/crates/bankvalve/tests/cell/test_cell.rs
+++ b/crates/bankvalve/tests/cell/test_cell.rs
@@ -21,9 +21,9 @@
 use serde_json::{json, Value};
 
 /// Time after which `wait_until` fails the test.
-pub(crate) const LONGEST: Duration = Duration::from_secs(90);
+pub(crate) const WAIT_LIMIT: Duration = Duration::from_secs(90);
 /// Interval at which `wait_until` checks its condition.
-const LOOK: Duration = Duration::from_millis(30);
+const POLL_INTERVAL: Duration = Duration::from_millis(30);
 /// Key with which the instances sign their requests to each other.
 pub(crate) const PEER_KEY: &str = "peer-key-of-the-tests";
 
@@ -57,12 +57,12 @@
     certificate: Option<String>,
 }
 
-/// Waits until a condition holds; panics if it does not hold within `LONGEST`.
+/// Waits until a condition holds; panics if it does not hold within `WAIT_LIMIT`.
 pub(crate) fn wait_until(what: &str, mut holds: impl FnMut() -> bool) {
     let begun = Instant::now();
     while !holds() {
-        assert!(begun.elapsed() < LONGEST, "not in time: {what}");
-        thread::sleep(LOOK);
+        assert!(begun.elapsed() < WAIT_LIMIT, "not in time: {what}");
+        thread::sleep(POLL_INTERVAL);
     }
 }
 
