--- a/crates/bankvalve/src/serve/core_thread.rs
+++ b/crates/bankvalve/src/serve/core_thread.rs
@@ -1,4 +1,4 @@
-//! The thread that makes all decisions.
+//! The core thread, which runs the decision logic of the instance.
 
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -16,14 +16,15 @@
 
 use super::RouteTable;
 
-/// Time between two ticks.
-const TICK: Duration = Duration::from_millis(20);
-/// Time between two publications of routes and counters.
-const PUBLISH: Duration = Duration::from_millis(100);
-/// Time after which a caller may come back when the ring is full, in milliseconds.
-const COME_BACK_MS: u64 = 500;
+/// Interval between two ticks of the core.
+const TICK_INTERVAL: Duration = Duration::from_millis(20);
+/// Interval between two publications of routes and counters.
+const PUBLISH_INTERVAL: Duration = Duration::from_millis(100);
+/// Time after which a caller may retry when the core's queue is full or the instance is stopping, in
+/// milliseconds.
+const RETRY_AFTER_MS: u64 = 500;
 
-/// Something for the core thread.
+/// An input of the core thread.
 pub(super) enum CoreInput {
     End,
     Event(CoreEvent),
@@ -33,26 +34,26 @@
     },
 }
 
-/// What others may see of the core.
+/// Snapshot of the core's state, published for metrics.
 #[derive(Clone, Debug, Default)]
 pub struct CoreView {
-    /// Counters.
+    /// Counters of the core's decisions and invariants.
     pub tally: CellTally,
-    /// Partitions owned: of workers, of teams.
+    /// Numbers of worker partitions and of team partitions that this instance owns.
     pub partitions: (usize, usize),
-    /// Tasks that wait to be assigned by the teams' owners here.
+    /// Number of tasks in the owned team partitions that wait to be assigned.
     pub waiting: usize,
-    /// Room reserved and room in all, of the workers owned here.
+    /// Reserved and total capacity of the workers in the owned worker partitions.
     pub room: (TaskSize, TaskSize),
     /// Version of the bundle in force.
     pub bundle: u64,
-    /// Whether the table service has answered lately.
+    /// Whether the table service has answered recently.
     pub store_answers: bool,
-    /// Batches that wait to be archived.
+    /// Number of ledger batches that are not yet archived in the object store.
     pub unarchived: usize,
 }
 
-/// What the core thread shares.
+/// State that the core thread shares with the other threads.
 #[derive(Debug, Default)]
 pub(super) struct CoreShared {
     pub(super) routes: RwLock<Arc<RouteTable>>,
@@ -61,11 +62,11 @@
     pub(super) stopped: AtomicBool,
     pub(super) steps: AtomicU64,
     pub(super) ring_full: AtomicU64,
-    /// Processor time of all steps, in nanoseconds.
+    /// Elapsed time of all steps, in nanoseconds.
     pub(super) step_nanos: AtomicU64,
 }
 
-/// Handle to the core thread.
+/// Handle through which other threads send events and commands to the core thread.
 #[derive(Clone)]
 pub struct CoreHandle {
     ring: Sender<CoreInput>,
@@ -79,7 +80,7 @@
 }
 
 impl CoreHandle {
-    /// Makes a handle and the ring's other end.
+    /// Creates a handle and the receiving end of its queue, which holds up to `ring` inputs.
     pub(super) fn new(ring: usize) -> (Self, Receiver<CoreInput>) {
         let (sender, receiver) = crossbeam::channel::bounded(ring);
         let shared = Arc::new(CoreShared::default());
@@ -94,21 +95,21 @@
         &self.shared
     }
 
-    /// Gives the core an event; returns whether the ring had room.
-    pub fn give(&self, event: CoreEvent) -> bool {
-        let given = self.ring.try_send(CoreInput::Event(event)).is_ok();
-        if !given {
+    /// Sends an event to the core without blocking; returns whether the queue accepted it.
+    pub fn send_event(&self, event: CoreEvent) -> bool {
+        let sent = self.ring.try_send(CoreInput::Event(event)).is_ok();
+        if !sent {
             self.shared.ring_full.fetch_add(1, Ordering::Relaxed);
         }
-        given
+        sent
     }
 
-    /// Ends the core thread, and with it the links.
+    /// Ends the core thread. The links thread ends with it, because its action channel closes.
     pub(super) fn end(&self) {
         let _ = self.ring.send(CoreInput::End);
     }
 
-    /// Gives the core a command and waits for the answer.
+    /// Sends a command to the core and waits for the answer.
     pub async fn command(&self, command: CallerCommand) -> CallerAnswer {
         let (reply, answer) = oneshot::channel();
         match self.ring.try_send(CoreInput::Command { command, reply }) {
@@ -117,7 +118,7 @@
                 self.shared.ring_full.fetch_add(1, Ordering::Relaxed);
                 let detail = "too many events wait for the core";
                 let reason = RefusalReason::QueueFull;
-                return CallerAnswer::NotRun(Refusal::temporary(reason, detail, COME_BACK_MS));
+                return CallerAnswer::NotRun(Refusal::temporary(reason, detail, RETRY_AFTER_MS));
             }
             Err(TrySendError::Disconnected(_)) => return stopping(),
         }
@@ -127,29 +128,30 @@
         answer.await.unwrap_or_else(|_| gone())
     }
 
-    /// The routes in force.
+    /// Returns the routes that the core last published.
     pub fn routes(&self) -> Arc<RouteTable> {
         let routes = self.shared.routes.read();
         routes.unwrap_or_else(|error| error.into_inner()).clone()
     }
 
-    /// What the core last published.
+    /// Returns the snapshot that the core last published.
     pub fn view(&self) -> CoreView {
         let view = self.shared.view.lock();
         view.unwrap_or_else(|error| error.into_inner()).clone()
     }
 
-    /// Tells whether the instance may be given callers.
+    /// Returns whether the instance is ready to serve callers.
     pub fn is_ready(&self) -> bool {
         self.shared.ready.load(Ordering::Acquire)
     }
 
-    /// Tells whether everything has been handed over.
+    /// Returns whether the core has stopped, with all its partitions handed over.
     pub fn is_stopped(&self) -> bool {
         self.shared.stopped.load(Ordering::Acquire)
     }
 
-    /// Steps made, their processor time in nanoseconds, and events refused by a full ring.
+    /// Returns the number of steps, their elapsed time in nanoseconds, and the number of inputs and actions
+    /// that a full queue refused.
     pub fn effort(&self) -> (u64, u64, u64) {
         let read = |counter: &AtomicU64| counter.load(Ordering::Relaxed);
         let shared = &self.shared;
@@ -164,10 +166,10 @@
 fn stopping() -> CallerAnswer {
     let detail = "the instance is stopping";
     let reason = RefusalReason::Stopping;
-    CallerAnswer::NotRun(Refusal::temporary(reason, detail, COME_BACK_MS))
+    CallerAnswer::NotRun(Refusal::temporary(reason, detail, RETRY_AFTER_MS))
 }
 
-/// The core thread's own state.
+/// State of the core thread.
 pub(super) struct CoreThread {
     core: InstanceCore,
     started: Instant,
@@ -175,7 +177,7 @@
     links: mpsc::Sender<CoreAction>,
     replies: BTreeMap<Ticket, oneshot::Sender<CallerAnswer>>,
     next_ticket: Ticket,
-    breaches_told: u64,
+    breaches_logged: u64,
 }
 
 impl CoreThread {
@@ -191,11 +193,11 @@
             links,
             replies: BTreeMap::new(),
             next_ticket: 1,
-            breaches_told: 0,
+            breaches_logged: 0,
         }
     }
 
-    /// Runs until the ring is closed.
+    /// Runs until `CoreInput::End` arrives or the queue is closed.
     pub(super) fn run(mut self, ring: &Receiver<CoreInput>) {
         let mut next_tick = Instant::now();
         let mut next_publication = Instant::now();
@@ -210,11 +212,11 @@
             }
             let now = Instant::now();
             if now >= next_tick {
-                next_tick = now + TICK;
+                next_tick = now + TICK_INTERVAL;
                 self.step(CoreEvent::Tick);
             }
             if now >= next_publication {
-                next_publication = now + PUBLISH;
+                next_publication = now + PUBLISH_INTERVAL;
                 self.publish();
             }
         }
@@ -250,14 +252,16 @@
             action => {
                 if let Err(mpsc::error::TrySendError::Full(action)) = self.links.try_send(action) {
                     self.shared.ring_full.fetch_add(1, Ordering::Relaxed);
-                    self.fail(action);
+                    self.report_unsent(action);
                 }
             }
         }
     }
 
-    /// Tells the core that something was not sent because the ring was full.
-    fn fail(&mut self, action: CoreAction) {
+    /// Reports to the core that an action was not sent because the queue of the links thread was full.
+    ///
+    /// Only table requests and worker exchanges are reported; other actions are dropped.
+    fn report_unsent(&mut self, action: CoreAction) {
         match action {
             CoreAction::Store { ticket, .. } => self.step(CoreEvent::Store {
                 ticket,
@@ -293,11 +297,11 @@
             .tally
             .breaches()
             .iter()
-            .skip(self.breaches_told as usize)
+            .skip(self.breaches_logged as usize)
         {
             log::error!("core: an invariant does not hold: {breach}");
         }
-        self.breaches_told = view.tally.breaches().len() as u64;
+        self.breaches_logged = view.tally.breaches().len() as u64;
         match self.shared.view.lock() {
             Ok(mut shared) => *shared = view,
             Err(error) => *error.into_inner() = view,
@@ -326,7 +330,7 @@
     }
 }
 
-/// The wall clock in milliseconds since the Unix epoch.
+/// Returns the wall-clock time in milliseconds since the Unix epoch.
 pub(super) fn unix_millis() -> UnixMillis {
     let since = SystemTime::now().duration_since(UNIX_EPOCH);
     since.map_or(0, |since| since.as_millis() as UnixMillis)
--- a/crates/bankvalve/src/serve/instance_process.rs
+++ b/crates/bankvalve/src/serve/instance_process.rs
@@ -1,4 +1,4 @@
-//! Starts an entry instance's threads and stops them.
+//! Starts and stops the threads of an entry instance.
 
 use std::net::{SocketAddr, TcpListener};
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -14,7 +14,7 @@
 use tokio::sync::mpsc;
 
 use super::core_thread::{unix_millis, CoreThread};
-use super::link_thread::{carry_all, LinkPlan};
+use super::link_thread::{run_links, LinkPlan};
 use super::list_thread::poll_list;
 use super::record_reader::RecordReader;
 use super::{CoreHandle, RequestRouter, ServeFailure};
@@ -22,28 +22,29 @@
 use crate::metrics::InstanceMetrics;
 use crate::settings::ServeSettings;
 
-/// Time between two looks at whether everything is handed over.
-const LOOK: Duration = Duration::from_millis(10);
-/// Time for which the balancer is shown that the instance is not ready, before it stops taking requests.
-const BALANCER_TIME: Duration = Duration::from_millis(1_500);
+/// Interval at which a planned stop checks whether it is complete.
+const STOP_POLL_INTERVAL: Duration = Duration::from_millis(10);
+/// Shortest time for which a stopping instance still accepts requests while `/readyz` reports it as not
+/// ready, so that the load balancer stops sending requests to it first.
+const MIN_NOT_READY_TIME: Duration = Duration::from_millis(1_500);
 
-/// Listeners that an instance was given.
+/// Listening sockets of an instance.
 #[derive(Debug)]
 pub struct InstanceListeners {
-    /// Callers and operators.
+    /// Listener for callers and operators.
     pub callers: TcpListener,
-    /// Other entry instances.
+    /// Listener for other entry instances.
     pub peers: TcpListener,
-    /// Metrics and health.
+    /// Listener for metrics and health checks.
     pub admin: TcpListener,
 }
 
 impl InstanceListeners {
-    /// Listens on the addresses of the settings.
+    /// Binds the addresses of the settings.
     ///
     /// # Errors
     ///
-    /// Returns the step and the address.
+    /// Returns `ServeFailure::Listen` with the settings field and the address that could not be bound.
     pub fn bind(settings: &ServeSettings) -> Result<Self, Report<ServeFailure>> {
         let bind = |field: &str, address: SocketAddr| {
             bankvalve_link::listen(address)
@@ -57,11 +58,11 @@
         })
     }
 
-    /// Settings with the ports that were really bound, where port 0 asked for any.
+    /// Returns the settings with the ports that were bound, which differ where the settings have port 0.
     ///
     /// # Errors
     ///
-    /// Returns an error if a listener has no address.
+    /// Returns an error if the address of a listener cannot be read.
     pub fn bound_settings(
         &self,
         settings: &ServeSettings,
@@ -93,7 +94,7 @@
 }
 
 impl InstanceProcess {
-    /// Starts an instance.
+    /// Starts all threads and HTTP servers of an instance.
     ///
     /// # Errors
     ///
@@ -123,7 +124,7 @@
             .change_context(ServeFailure::Thread)?;
         let link_core = core.clone();
         threads.push(spawn("links", move || {
-            runtime.block_on(carry_all(plan, actions, link_core));
+            runtime.block_on(run_links(plan, actions, link_core));
         })?);
         let stop_list = Arc::new(AtomicBool::new(false));
         threads.push(spawn_list(settings, &stop_list, &core)?);
@@ -192,66 +193,67 @@
         })
     }
 
-    /// Name of the instance.
+    /// Returns the name of the instance.
     pub fn name(&self) -> &str {
         &self.name
     }
 
-    /// Handle to the core thread.
+    /// Returns the handle to the core thread.
     pub fn core(&self) -> &CoreHandle {
         &self.core
     }
 
-    /// The request path.
+    /// Returns the router of service requests.
     pub fn router(&self) -> &RequestRouter {
         &self.router
     }
 
-    /// Metrics.
+    /// Returns the metrics of the instance.
     pub fn metrics(&self) -> &Arc<InstanceMetrics> {
         &self.metrics
     }
 
-    /// Address that callers are listened to on.
+    /// Returns the address on which the instance listens for callers.
     pub fn caller_address(&self) -> Option<SocketAddr> {
         self.callers.as_ref().map(HttpServer::address)
     }
 
-    /// Stops as planned: shows the balancer that it is leaving, hands over
-    /// what it owns, and finishes what is in flight.
+    /// Performs a planned stop: hands over the owned partitions, lets the load balancer see that the instance
+    /// is not ready, and waits for the requests in flight.
     ///
-    /// Returns whether all of it was done in the time that the settings give.
+    /// Returns whether the handover and all requests finished within the stop time of the settings.
     pub fn stop(mut self) -> bool {
         let begun = Instant::now();
-        log::info!("serve: instance {} stops", self.name);
-        self.core.give(CoreEvent::Stop);
-        let late = |since: Instant| since.elapsed() >= self.stop_time;
-        while !self.core.is_stopped() && !late(begun) {
-            thread::sleep(LOOK);
+        log::info!("serve: instance {} is stopping", self.name);
+        self.core.send_event(CoreEvent::Stop);
+        let timed_out = |since: Instant| since.elapsed() >= self.stop_time;
+        while !self.core.is_stopped() && !timed_out(begun) {
+            thread::sleep(STOP_POLL_INTERVAL);
         }
-        while begun.elapsed() < BALANCER_TIME.min(self.stop_time) {
-            thread::sleep(LOOK);
+        while begun.elapsed() < MIN_NOT_READY_TIME.min(self.stop_time) {
+            thread::sleep(STOP_POLL_INTERVAL);
         }
         let busy = || self.in_flight.load(Ordering::Acquire) > 0;
-        while busy() && !late(begun) {
-            thread::sleep(LOOK);
+        while busy() && !timed_out(begun) {
+            thread::sleep(STOP_POLL_INTERVAL);
         }
-        let whole = self.core.is_stopped() && !busy();
+        let complete = self.core.is_stopped() && !busy();
         log::info!(
             "serve: instance {} stopped after {} ms, {}",
             self.name,
             begun.elapsed().as_millis(),
-            if whole {
+            if complete {
                 "all handed over"
             } else {
                 "not all handed over"
             }
         );
         self.end();
-        whole
+        complete
     }
 
-    /// Ends all threads at once, as a crash would, but for the sockets.
+    /// Ends all threads without a handover, as a crash would, except that the HTTP servers are stopped
+    /// properly.
     fn end(&mut self) {
         self.stop_list.store(true, Ordering::Release);
         self.core.end();
@@ -285,19 +287,19 @@
     LinkPlan {
         table_url: settings.platform.table_url.clone(),
         objects_url: settings.platform.objects_url.clone(),
-        store_time: Duration::from_millis(settings.timings_ms.store_answer),
-        worker_time: Duration::from_millis(settings.timings_ms.worker_answer),
+        store_timeout: Duration::from_millis(settings.timings_ms.store_answer),
+        worker_timeout: Duration::from_millis(settings.timings_ms.worker_answer),
         signer,
     }
 }
 
 fn spawn(
     name: &str,
-    duty: impl FnOnce() + Send + 'static,
+    body: impl FnOnce() + Send + 'static,
 ) -> Result<JoinHandle<()>, Report<ServeFailure>> {
     thread::Builder::new()
         .name(name.to_owned())
-        .spawn(duty)
+        .spawn(body)
         .change_context(ServeFailure::Thread)
         .attach(name.to_owned())
 }
--- a/crates/bankvalve/src/serve/record_reader.rs
+++ b/crates/bankvalve/src/serve/record_reader.rs
@@ -1,4 +1,4 @@
-//! Reads the record of what ran from the object store and the table service.
+//! Reads the archived and the recent ledger batches of a team's jobs.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -11,29 +11,29 @@
 use hyper::Method;
 use serde::{Deserialize, Serialize};
 
-use super::link_thread::ask_objects;
+use super::link_thread::send_object_request;
 
-/// Time in which each part of the record must be read.
-const READ_TIME: Duration = Duration::from_secs(5);
-/// Idle connections kept.
-const IDLE: usize = 2;
-/// Largest reply in bytes.
-const REPLY_BYTES: usize = 64 * 1024 * 1024;
+/// Timeout of each request to the table service or the object store.
+const READ_TIMEOUT: Duration = Duration::from_secs(5);
+/// Largest number of idle connections pooled for each host.
+const MAX_IDLE_CONNECTIONS: usize = 2;
+/// Largest reply that is read, in bytes.
+const MAX_REPLY_BYTES: usize = 64 * 1024 * 1024;
 
-/// One event of the record.
+/// One ledger event with the batch that holds it.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct RecordEntry {
-    /// Number of its batch.
+    /// Sequence number of the batch.
     pub batch: u64,
-    /// Instance that committed it.
+    /// Name of the instance that committed the batch.
     pub instance: String,
-    /// The owner's epoch.
+    /// Epoch in which that instance owned the partition.
     pub epoch: u64,
-    /// The event.
+    /// The ledger event.
     pub event: LedgerEvent,
 }
 
-/// Reads the record of a team's partition.
+/// Client that reads the ledger of a team partition from the table service and the object store.
 #[derive(Clone, Debug)]
 pub struct RecordReader {
     client: HttpClient,
@@ -44,17 +44,18 @@
 impl RecordReader {
     pub(super) fn new(table_url: &str, objects_url: &str) -> Self {
         Self {
-            client: HttpClient::new(IDLE, REPLY_BYTES),
+            client: HttpClient::new(MAX_IDLE_CONNECTIONS, MAX_REPLY_BYTES),
             table_url: table_url.to_owned(),
             objects_url: objects_url.to_owned(),
         }
     }
 
-    /// Reads and verifies a partition's record, and returns what concerns a team or a job of it.
+    /// Reads a partition's ledger, verifies its hash chain, and returns the events of a team or of one of its
+    /// jobs.
     ///
     /// # Errors
     ///
-    /// Returns what could not be read, or where the chain breaks.
+    /// Returns what could not be read, or where the hash chain is broken.
     pub async fn read(
         &self,
         partition: PartitionIndex,
@@ -86,10 +87,10 @@
         Ok(entries)
     }
 
-    /// All batches of a partition by number.
+    /// Returns all batches of a partition by sequence number.
     ///
-    /// The table is read first: a batch that is archived and deleted in
-    /// between is then in the objects.
+    /// The table is read before the object store: a batch that is archived and deleted from the table between
+    /// the two reads is then found in the object store.
     async fn batches_of(&self, partition: u32) -> Result<BTreeMap<u64, Vec<u8>>, String> {
         let mut batches = BTreeMap::new();
         for row in self.log_rows(partition).await? {
@@ -122,7 +123,7 @@
                 &[],
                 WIRE_TYPE,
                 request,
-                READ_TIME,
+                READ_TIMEOUT,
             )
             .await
             .map_err(|failure| format!("the table service: {failure}"))?;
@@ -135,7 +136,7 @@
     async fn segment_names(&self, partition: u32) -> Result<Vec<String>, String> {
         let prefix = format!("record/{partition:04}/");
         let request = ObjectRequest::List { prefix };
-        match ask_objects(&self.client, &self.objects_url, READ_TIME, &request).await {
+        match send_object_request(&self.client, &self.objects_url, READ_TIMEOUT, &request).await {
             ObjectOutcome::Names(names) => Ok(names),
             _ => Err("the object store does not answer".into()),
         }
@@ -144,7 +145,8 @@
     async fn segment(&self, name: &str) -> Result<Vec<Vec<u8>>, String> {
         let name = name.to_owned();
         let request = ObjectRequest::Get { name: name.clone() };
-        let outcome = ask_objects(&self.client, &self.objects_url, READ_TIME, &request).await;
+        let outcome =
+            send_object_request(&self.client, &self.objects_url, READ_TIMEOUT, &request).await;
         let ObjectOutcome::Content(Some(bytes)) = outcome else {
             return Err(format!("segment {name} cannot be read"));
         };
--- a/crates/bankvalve/src/serve/request_router.rs
+++ b/crates/bankvalve/src/serve/request_router.rs
@@ -1,4 +1,4 @@
-//! Carries callers' requests to running tasks of a service, with one hop at most.
+//! Forwards callers' requests to running tasks of a service, through at most one peer.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Arc;
@@ -14,52 +14,55 @@
 use super::route_table::{RouteTable, SlotGate};
 use super::CoreHandle;
 
-/// Targets that one request is tried on at most.
-const TRY_LIMIT: usize = 4;
-/// Part of a second try's cost that each request earns, in thousandths.
-const BUDGET_EARNED: u64 = 100;
-/// Cost of a second try, in thousandths.
-const BUDGET_COST: u64 = 1_000;
-/// Most that the budget saves up, in thousandths.
-const BUDGET_LIMIT: u64 = 50_000;
-/// Time kept back at each hop, for the way back.
-const HOP_TIME: Duration = Duration::from_millis(5);
-/// Idle connections kept to each host.
-const IDLE: usize = 64;
-/// Largest answer of a service in bytes.
-const ANSWER_BYTES: usize = 16 * 1024 * 1024;
-/// Content type of requests and answers of services.
-const CONTENT: &str = "application/octet-stream";
+/// Largest number of endpoints that one request is sent to.
+const MAX_TRIES: usize = 4;
+/// Amount that each request adds to the retry budget, in thousandths of a retry.
+const RETRY_BUDGET_EARNED: u64 = 100;
+/// Amount that a retry takes from the retry budget, in thousandths of a retry.
+const RETRY_BUDGET_COST: u64 = 1_000;
+/// Upper limit of the retry budget, in thousandths of a retry.
+const RETRY_BUDGET_LIMIT: u64 = 50_000;
+/// Time subtracted from the deadline sent to a peer, so that the peer's answer arrives before the caller's
+/// deadline.
+const HOP_MARGIN: Duration = Duration::from_millis(5);
+/// Largest number of idle connections pooled for each host.
+const MAX_IDLE_CONNECTIONS: usize = 64;
+/// Largest answer of a service that is read, in bytes.
+const MAX_ANSWER_BYTES: usize = 16 * 1024 * 1024;
+/// Content type of requests to services.
+const CONTENT_TYPE: &str = "application/octet-stream";
 
-/// A request for a service.
+/// A request to a service.
 #[derive(Clone, Debug)]
 pub struct ServiceRequest {
-    /// The team.
+    /// Team that owns the service.
     pub team: String,
-    /// The service.
+    /// Name of the service.
     pub service: String,
-    /// Id that the caller gave it.
+    /// Request id that the caller chose.
     pub id: String,
-    /// When the caller's patience ends.
+    /// Time by which the caller needs the answer.
     pub deadline: Instant,
-    /// Whether it may run again when it is not known whether it ran.
+    /// Whether the request may be sent again when it is unknown whether it ran.
     pub repeatable: bool,
-    /// Body.
+    /// Body of the request.
     pub body: Bytes,
 }
 
-/// What became of a request.
+/// Outcome of a request.
 #[derive(Clone, Debug)]
 pub enum RequestOutcome {
     /// The service answered, with this status and body.
     Answered(u16, Bytes),
-    /// It certainly did not run.
+    /// The request is known not to have run.
     NotRun(RefusalReason),
-    /// It may have run.
+    /// The request may have run; its answer was lost.
     Unknown,
 }
 
-/// Second tries are a share of the traffic.
+/// Budget that limits retries to a share of the requests.
+///
+/// Each request earns a tenth of a retry, and up to 50 retries can be saved.
 #[derive(Debug)]
 struct RetryBudget {
     saved: AtomicU64,
@@ -67,14 +70,14 @@
 
 impl RetryBudget {
     fn earn(&self) {
-        let more = |saved: u64| Some((saved + BUDGET_EARNED).min(BUDGET_LIMIT));
+        let more = |saved: u64| Some((saved + RETRY_BUDGET_EARNED).min(RETRY_BUDGET_LIMIT));
         let _ = self
             .saved
             .fetch_update(Ordering::AcqRel, Ordering::Acquire, more);
     }
 
     fn spend(&self) -> bool {
-        let less = |saved: u64| saved.checked_sub(BUDGET_COST);
+        let less = |saved: u64| saved.checked_sub(RETRY_BUDGET_COST);
         self.saved
             .fetch_update(Ordering::AcqRel, Ordering::Acquire, less)
             .is_ok()
@@ -91,22 +94,22 @@
     retried: [AtomicU64; RetryReason::ALL.len()],
 }
 
-/// What the request path has counted.
+/// Snapshot of the router's counters.
 #[derive(Clone, Debug, Default)]
 pub struct RequestCounts {
     /// Requests refused, by reason.
     pub refused: Vec<(RefusalReason, u64)>,
-    /// Second tries, by reason.
+    /// Failed tries that allow a retry, by reason.
     pub retried: Vec<(RetryReason, u64)>,
     /// Requests answered by their service.
     pub answered: u64,
-    /// Requests of which it is not known whether they ran.
+    /// Requests that may have run and whose answer was lost.
     pub unknown: u64,
-    /// Requests carried through a peer.
+    /// Tries that were sent through a peer.
     pub hops: u64,
 }
 
-/// Carries requests.
+/// Forwards requests to services and counts the outcomes.
 #[derive(Clone, Debug)]
 pub struct RequestRouter {
     core: CoreHandle,
@@ -122,26 +125,27 @@
     pub(super) fn new(core: CoreHandle, signer: PeerSigner, name: &str, domain: &str) -> Self {
         Self {
             core,
-            client: HttpClient::new(IDLE, ANSWER_BYTES),
+            client: HttpClient::new(MAX_IDLE_CONNECTIONS, MAX_ANSWER_BYTES),
             signer,
             name: name.to_owned(),
             domain: domain.to_owned(),
             budget: Arc::new(RetryBudget {
-                saved: AtomicU64::new(BUDGET_LIMIT),
+                saved: AtomicU64::new(RETRY_BUDGET_LIMIT),
             }),
             counters: Arc::new(RouterCounters::default()),
         }
     }
 
-    /// A router with a client of its own, for another runtime; counters and budget are shared.
+    /// Returns a router with its own HTTP client, for use in another runtime. Counters and retry budget are
+    /// shared.
     pub(super) fn for_other_runtime(&self) -> Self {
         Self {
-            client: HttpClient::new(IDLE, ANSWER_BYTES),
+            client: HttpClient::new(MAX_IDLE_CONNECTIONS, MAX_ANSWER_BYTES),
             ..self.clone()
         }
     }
 
-    /// What has been counted.
+    /// Returns a snapshot of the counters.
     pub fn counts(&self) -> RequestCounts {
         let read = |counter: &AtomicU64| counter.load(Ordering::Relaxed);
         let refused = RefusalReason::ALL.iter().zip(&self.counters.refused);
@@ -159,15 +163,18 @@
         }
     }
 
-    /// Carries a caller's request; tries again only what certainly did not run, or may be repeated.
-    pub async fn carry(&self, request: &ServiceRequest) -> RequestOutcome {
+    /// Forwards a caller's request to the service's endpoints in turn, within the retry budget and the
+    /// deadline.
+    ///
+    /// Retries only a request that is known not to have run, or that is repeatable.
+    pub async fn forward(&self, request: &ServiceRequest) -> RequestOutcome {
         self.budget.earn();
         let routes = self.core.routes();
-        let mut points = self.order_points(routes.points_of(&request.team, &request.service));
-        points.truncate(TRY_LIMIT);
+        let mut candidates = self.order_routes(routes.routes_of(&request.team, &request.service));
+        candidates.truncate(MAX_TRIES);
         let mut last = RefusalReason::UnknownService;
-        let mut doubtful = false;
-        for (index, point) in points.iter().enumerate() {
+        let mut may_have_run = false;
+        for (index, candidate) in candidates.iter().enumerate() {
             if index > 0 && !self.budget.spend() {
                 break;
             }
@@ -175,56 +182,61 @@
                 last = RefusalReason::DeadlinePassed;
                 break;
             }
-            match self.try_point(&routes, point, request).await {
+            match self.try_route(&routes, candidate, request).await {
                 RequestOutcome::NotRun(reason) => {
                     last = reason;
                     self.count_retry(RetryReason::RequestNotRun);
                 }
                 RequestOutcome::Unknown if request.repeatable => {
-                    doubtful = true;
+                    may_have_run = true;
                     self.count_retry(RetryReason::WorkerAnswerLost);
                 }
                 outcome => return self.counted(outcome),
             }
         }
-        self.counted(if doubtful {
+        self.counted(if may_have_run {
             RequestOutcome::Unknown
         } else {
             RequestOutcome::NotRun(last)
         })
     }
 
-    /// Carries a request to a worker that is owned here; a peer asked for it.
-    pub async fn carry_to_own(&self, worker: &str, request: &ServiceRequest) -> RequestOutcome {
+    /// Forwards a request from a peer to a worker that this instance owns.
+    pub async fn forward_to_owned_worker(
+        &self,
+        worker: &str,
+        request: &ServiceRequest,
+    ) -> RequestOutcome {
         let routes = self.core.routes();
         self.send_to_worker(&routes, worker, request).await
     }
 
-    /// Own workers first, then those of the same failure domain, else in random order.
-    fn order_points<'a>(&self, points: &'a [ServiceRoute]) -> Vec<&'a ServiceRoute> {
-        let mut ordered: Vec<&ServiceRoute> = points.iter().collect();
+    /// Orders routes: workers owned by this instance first, then workers of its failure domain, otherwise at
+    /// random.
+    fn order_routes<'a>(&self, candidates: &'a [ServiceRoute]) -> Vec<&'a ServiceRoute> {
+        let mut ordered: Vec<&ServiceRoute> = candidates.iter().collect();
         ordered.shuffle(&mut rand::rng());
-        ordered.sort_by_key(|point| {
-            let own = point.owner == self.name;
-            let near = point.endpoint.domain == self.domain;
-            (!own, !near)
+        ordered.sort_by_key(|candidate| {
+            let own = candidate.owner == self.name;
+            let same_domain = candidate.endpoint.domain == self.domain;
+            (!own, !same_domain)
         });
         ordered
     }
 
-    async fn try_point(
+    async fn try_route(
         &self,
         routes: &RouteTable,
-        point: &ServiceRoute,
+        candidate: &ServiceRoute,
         request: &ServiceRequest,
     ) -> RequestOutcome {
-        if point.owner == self.name {
+        if candidate.owner == self.name {
             return self
-                .send_to_worker(routes, &point.endpoint.worker, request)
+                .send_to_worker(routes, &candidate.endpoint.worker, request)
                 .await;
         }
         self.counters.hops.fetch_add(1, Ordering::Relaxed);
-        self.send_to_peer(point, request).await
+        self.send_to_peer(candidate, request).await
     }
 
     async fn send_to_worker(
@@ -233,7 +245,7 @@
         worker: &str,
         request: &ServiceRequest,
     ) -> RequestOutcome {
-        let Some(gated) = routes.own_worker(worker) else {
+        let Some(gated) = routes.owned_worker(worker) else {
             return RequestOutcome::NotRun(RefusalReason::StaleEpoch);
         };
         let Some(_permit) = SlotGate::acquire(&gated.gate) else {
@@ -258,14 +270,18 @@
         }
     }
 
-    async fn send_to_peer(&self, point: &ServiceRoute, request: &ServiceRequest) -> RequestOutcome {
+    async fn send_to_peer(
+        &self,
+        candidate: &ServiceRoute,
+        request: &ServiceRequest,
+    ) -> RequestOutcome {
         let path = format!(
             "/peer/requests/{}/{}/{}",
-            request.team, request.service, point.endpoint.worker
+            request.team, request.service, candidate.endpoint.worker
         );
-        let url = format!("http://{}{path}", point.owner_address);
+        let url = format!("http://{}{path}", candidate.owner_address);
         let left = request.deadline.saturating_duration_since(Instant::now());
-        let left = left.saturating_sub(HOP_TIME);
+        let left = left.saturating_sub(HOP_MARGIN);
         let headers = [
             self.signer.header(&path, &request.body),
             ("bankvalve-request", request.id.clone()),
@@ -290,7 +306,7 @@
         let body = request.body.clone();
         let reply = self
             .client
-            .send(Method::POST, url, headers, CONTENT, body, time)
+            .send(Method::POST, url, headers, CONTENT_TYPE, body, time)
             .await?;
         Ok((reply.status, reply.body))
     }
@@ -314,9 +330,9 @@
     }
 }
 
-/// Status with which a peer says that a request certainly did not run.
+/// HTTP status of a peer's answer for a request that is known not to have run.
 pub(crate) const PEER_NOT_RUN: u16 = 570;
-/// Status with which a peer says that a request may have run.
+/// HTTP status of a peer's answer for a request that may have run.
 pub(crate) const PEER_UNKNOWN: u16 = 571;
 
 fn outcome_from_peer(status: u16, body: Bytes) -> RequestOutcome {
