--- a/crates/bankvalve/src/command/api_client.rs
+++ b/crates/bankvalve/src/command/api_client.rs
@@ -1,4 +1,4 @@
-//! Calls the versioned interface of entry instances.
+//! HTTP client for the versioned API of the entry instances.
 
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
@@ -12,12 +12,15 @@
 use super::{ClientSettings, CommandFailure, FailureKind};
 use crate::api::ErrorBody;
 
-/// Time in which an instance must be connected to.
-const CONNECT_TIME: Duration = Duration::from_secs(2);
-/// Time in which it must answer.
-const ANSWER_TIME: Duration = Duration::from_secs(30);
+/// Timeout for connecting to an instance.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
+/// Timeout for a complete call to one instance.
+const CALL_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Calls entry instances, the next one if one cannot be reached.
+/// API client that tries the configured entry instances in order.
+///
+/// It moves on to the next instance only if the connection fails. Once a request has been sent, a call
+/// without an answer is an error, because the request may have taken effect.
 #[derive(Clone, Debug)]
 pub struct ApiClient {
     settings: ClientSettings,
@@ -25,17 +28,17 @@
     certificate: Option<CertificateDer<'static>>,
 }
 
-/// Who signs a call.
+/// Whose credentials authorize a call.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum CallAs<'a> {
-    /// A caller of a team.
+    /// A team, by its token. The operator's key is used if there is no token for the team.
     Team(&'a str),
-    /// The operator.
+    /// The operator, by a signature.
     Operator,
 }
 
 impl ApiClient {
-    /// Makes a client.
+    /// Creates a client.
     ///
     /// # Errors
     ///
@@ -66,7 +69,9 @@
         })
     }
 
-    /// Calls a path and reads the answer.
+    /// Sends a request to a path and parses the JSON answer.
+    ///
+    /// A status other than 2xx is returned as a failure.
     pub(crate) fn call<T: DeserializeOwned>(
         &self,
         call_as: CallAs<'_>,
@@ -75,17 +80,17 @@
         headers: &[(&'static str, String)],
         body: &[u8],
     ) -> Result<T, CommandFailure> {
-        let (status, bytes) = self.call_any(call_as, method, path, headers, body)?;
+        let (status, bytes) = self.send_request(call_as, method, path, headers, body)?;
         if (200..300).contains(&status) {
             return serde_json::from_slice(&bytes).map_err(|error| {
                 let text = format!("{path}: the answer cannot be read: {error}");
                 CommandFailure::new(FailureKind::Unknown, text)
             });
         }
-        Err(failure_of(status, &bytes))
+        Err(failure_from_response(status, &bytes))
     }
 
-    /// Calls a path with a JSON body.
+    /// Sends a `POST` request with a JSON body.
     pub(crate) fn post<T: DeserializeOwned>(
         &self,
         call_as: CallAs<'_>,
@@ -96,7 +101,7 @@
         self.call(call_as, &Method::POST, path, &[], &body)
     }
 
-    /// Reads a path.
+    /// Sends a `GET` request.
     pub(crate) fn get<T: DeserializeOwned>(
         &self,
         call_as: CallAs<'_>,
@@ -105,7 +110,7 @@
         self.call(call_as, &Method::GET, path, &[], &[])
     }
 
-    fn call_any(
+    fn send_request(
         &self,
         call_as: CallAs<'_>,
         method: &Method,
@@ -117,15 +122,15 @@
         for entry in &self.settings.entries {
             let url = format!("{}{path}", entry.trim_end_matches('/'));
             let mut builder = RequestBuilder::new(method.clone(), &url)
-                .connect_timeout(CONNECT_TIME)
-                .timeout(ANSWER_TIME);
+                .connect_timeout(CONNECT_TIMEOUT)
+                .timeout(CALL_TIMEOUT);
             if let Some(certificate) = &self.certificate {
                 builder = builder.add_root_certificate(certificate.clone());
             }
             for (name, value) in headers {
                 builder = builder.header(*name, value);
             }
-            let (name, value) = self.key_header(call_as, method, path, body)?;
+            let (name, value) = self.auth_header(call_as, method, path, body)?;
             let sent = builder.header(name, value).bytes(body.to_vec()).send();
             match sent {
                 Ok(response) => {
@@ -136,7 +141,7 @@
                         CommandFailure::new(FailureKind::Unknown, text)
                     });
                 }
-                Err(error) if is_connect(&error) => last = format!("{url}: {error}"),
+                Err(error) if is_connect_error(&error) => last = format!("{url}: {error}"),
                 Err(error) => {
                     let text = format!("{url}: no answer: {error}");
                     return Err(CommandFailure::new(FailureKind::Unknown, text));
@@ -146,7 +151,7 @@
         Err(CommandFailure::new(FailureKind::Unreachable, last))
     }
 
-    fn key_header(
+    fn auth_header(
         &self,
         call_as: CallAs<'_>,
         method: &Method,
@@ -156,7 +161,7 @@
         match call_as {
             CallAs::Team(team) => match (self.settings.tokens.get(team), &self.signer) {
                 (Some(token), _) => Ok(("authorization", format!("Bearer {token}"))),
-                (None, Some(_)) => self.key_header(CallAs::Operator, method, path, body),
+                (None, Some(_)) => self.auth_header(CallAs::Operator, method, path, body),
                 (None, None) => {
                     let text = format!("tokens: expected a token of team {team}");
                     Err(CommandFailure::new(FailureKind::BadInput, text))
@@ -174,7 +179,7 @@
     }
 }
 
-fn is_connect(error: &attohttpc::Error) -> bool {
+fn is_connect_error(error: &attohttpc::Error) -> bool {
     match error.kind() {
         attohttpc::ErrorKind::ConnectError { .. } => true,
         attohttpc::ErrorKind::Io(io) => io.kind() == std::io::ErrorKind::ConnectionRefused,
@@ -182,7 +187,7 @@
     }
 }
 
-fn failure_of(status: u16, bytes: &[u8]) -> CommandFailure {
+fn failure_from_response(status: u16, bytes: &[u8]) -> CommandFailure {
     let Ok(body) = serde_json::from_slice::<ErrorBody>(bytes) else {
         let text = format!("status {status}: {}", String::from_utf8_lossy(bytes).trim());
         return CommandFailure::new(FailureKind::NotRun, text);
--- a/crates/bankvalve/src/command/cell_client.rs
+++ b/crates/bankvalve/src/command/cell_client.rs
@@ -1,4 +1,4 @@
-//! Typed calls of the versioned interface.
+//! Typed calls to the versioned API.
 
 use std::thread;
 use std::time::{Duration, Instant};
@@ -13,12 +13,12 @@
 use super::{CommandFailure, FailureKind};
 use crate::serve::RecordEntry;
 
-/// Time for which a refused job is submitted again when that may help.
-const COME_BACK_TIME: Duration = Duration::from_secs(20);
-/// Time after which a job whose submission had no answer is submitted again.
-const ANSWER_LOST_TIME: Duration = Duration::from_millis(500);
+/// How long `submit` keeps retrying a job that was refused with a retry time or got no answer.
+const RESUBMIT_TIMEOUT: Duration = Duration::from_secs(20);
+/// Delay before a submission with an unknown outcome is retried.
+const UNKNOWN_OUTCOME_DELAY: Duration = Duration::from_millis(500);
 
-/// Entry instances and the partitions that they own.
+/// Entry instances, and the partitions with their owners.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct InstanceList {
     /// The instances.
@@ -27,16 +27,16 @@
     pub partitions: Vec<PartitionView>,
 }
 
-/// Calls of a team's callers.
+/// Calls made on behalf of a team.
 impl ApiClient {
-    /// Submits a job; tells whether it had been accepted before.
+    /// Submits a job and returns whether it had already been accepted.
     ///
-    /// Comes back when it is told to, for a while. Submitting again is safe
-    /// even if an answer was lost: the job's id makes it the same job.
+    /// Retries for up to 20 s if the refusal names a retry time or the outcome is unknown. A retry is safe
+    /// even if the job was accepted and the answer was lost, because the job's id identifies it.
     ///
     /// # Errors
     ///
-    /// Returns the last refusal.
+    /// Returns the last failure.
     pub fn submit(&self, job: &JobSpec) -> Result<bool, CommandFailure> {
         let begun = Instant::now();
         loop {
@@ -45,12 +45,15 @@
                 Err(failure) => failure,
             };
             let wait = match failure.kind {
-                FailureKind::Unknown => Some(ANSWER_LOST_TIME),
+                FailureKind::Unknown => Some(UNKNOWN_OUTCOME_DELAY),
                 _ => failure.retry_after_ms.map(Duration::from_millis),
             };
             match wait {
-                Some(wait) if begun.elapsed() + wait < COME_BACK_TIME => {
-                    log::info!("client: job {} is submitted again: {failure}", job.id);
+                Some(wait) if begun.elapsed() + wait < RESUBMIT_TIMEOUT => {
+                    log::info!(
+                        "client: resubmitting job {} after a failure: {failure}",
+                        job.id
+                    );
                     thread::sleep(wait);
                 }
                 _ => return Err(failure),
@@ -58,11 +61,11 @@
         }
     }
 
-    /// Submits a job a single time; tells whether it had been accepted before.
+    /// Submits a job without retrying and returns whether it had already been accepted.
     ///
     /// # Errors
     ///
-    /// Returns why it was refused, or that it is not known.
+    /// Returns why the call was refused or failed. The kind says whether it may have taken effect.
     pub fn submit_once(&self, job: &JobSpec) -> Result<bool, CommandFailure> {
         let body = serde_json::to_value(job).unwrap_or_default();
         let answer: Value = self.post(CallAs::Team(&job.team), "/v1/jobs", &body)?;
@@ -73,36 +76,36 @@
     ///
     /// # Errors
     ///
-    /// Returns why it was refused, or that it is not known.
+    /// Returns why the call was refused or failed. The kind says whether it may have taken effect.
     pub fn cancel(&self, team: &str, job: &str) -> Result<(), CommandFailure> {
         let path = format!("/v1/jobs/{team}/{job}");
         let _: Value = self.call(CallAs::Team(team), &Method::DELETE, &path, &[], &[])?;
         Ok(())
     }
 
-    /// How a job stands.
+    /// Returns the status of a job and its tasks.
     ///
     /// # Errors
     ///
-    /// Returns why it cannot be told.
+    /// Returns why the status is not available.
     pub fn status(&self, team: &str, job: &str) -> Result<JobView, CommandFailure> {
         self.get(CallAs::Team(team), &format!("/v1/jobs/{team}/{job}"))
     }
 
-    /// A team's jobs, without their tasks.
+    /// Returns the status of a team's jobs, without their tasks.
     ///
     /// # Errors
     ///
-    /// Returns why they cannot be told.
+    /// Returns why the jobs cannot be listed.
     pub fn jobs(&self, team: &str) -> Result<Vec<JobView>, CommandFailure> {
         self.get(CallAs::Team(team), &format!("/v1/jobs/{team}"))
     }
 
-    /// The verified record of a team or a job.
+    /// Returns the verified record of a team or of one job.
     ///
     /// # Errors
     ///
-    /// Returns why it cannot be read, or where it is broken.
+    /// Returns why the record cannot be read, or where its verification failed.
     pub fn record(
         &self,
         team: &str,
@@ -115,11 +118,13 @@
         self.get(CallAs::Team(team), &path)
     }
 
-    /// Sends a request to a service; `once` forbids a second run.
+    /// Sends a request to a service and returns the answer.
+    ///
+    /// With `once`, the request is marked as not repeatable, so the cell never runs it a second time.
     ///
     /// # Errors
     ///
-    /// Returns that it did not run, or that it is not known whether it did.
+    /// Returns a failure whose kind says whether the request did not run or may have run.
     pub fn request(
         &self,
         team: &str,
@@ -144,9 +149,9 @@
     }
 }
 
-/// Calls of operators.
+/// Calls made by operators.
 impl ApiClient {
-    /// All workers, as their owners see them.
+    /// Returns all workers, with the state that the owners of their partitions report.
     ///
     /// # Errors
     ///
@@ -155,7 +160,7 @@
         self.get(CallAs::Operator, "/v1/workers")
     }
 
-    /// Drains a worker, or undoes that.
+    /// Drains a worker, or ends its drain if `drain` is false.
     ///
     /// # Errors
     ///
@@ -166,7 +171,7 @@
         Ok(())
     }
 
-    /// All entry instances and what they own.
+    /// Returns all entry instances and the owners of the partitions.
     ///
     /// # Errors
     ///
@@ -175,7 +180,7 @@
         self.get(CallAs::Operator, "/v1/instances")
     }
 
-    /// Stops an entry instance as planned.
+    /// Starts the planned stop of an entry instance, which hands over its partitions.
     ///
     /// # Errors
     ///
@@ -186,20 +191,20 @@
         Ok(())
     }
 
-    /// The bundle in force.
+    /// Returns the configuration bundle in force.
     ///
     /// # Errors
     ///
-    /// Returns why it cannot be shown.
+    /// Returns why the bundle cannot be read.
     pub fn bundle(&self) -> Result<Value, CommandFailure> {
         self.get(CallAs::Operator, "/v1/bundle")
     }
 
-    /// Puts a bundle in force after the version before it.
+    /// Puts a bundle in force if its version is one higher than that of the bundle in force.
     ///
     /// # Errors
     ///
-    /// Returns who won, if another did.
+    /// Returns why the bundle was refused. A version conflict names the bundle in force and its author.
     pub fn accept_bundle(&self, bundle: &CellBundle) -> Result<(), CommandFailure> {
         let body = serde_json::to_value(bundle).unwrap_or_default();
         let _: Value = self.post(CallAs::Operator, "/v1/bundle", &body)?;
--- a/crates/bankvalve/src/command/client_settings.rs
+++ b/crates/bankvalve/src/command/client_settings.rs
@@ -1,4 +1,4 @@
-//! What the command line needs to reach a cell.
+//! Client settings: addresses and credentials for reaching a cell.
 
 use std::collections::BTreeMap;
 use std::path::PathBuf;
@@ -12,13 +12,13 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct OperatorSecret {
-    /// The operator.
+    /// Name of the operator.
     pub name: String,
     /// Ed25519 secret key in hexadecimal.
     pub secret_key: String,
 }
 
-/// What the command line needs to reach a cell.
+/// Addresses and credentials that the command line uses to reach a cell.
 ///
 /// # Examples
 ///
@@ -32,21 +32,21 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ClientSettings {
-    /// Base URLs of entry instances, or of the balancer before them.
+    /// Base URLs of entry instances, or of a load balancer in front of them.
     pub entries: Vec<String>,
-    /// Callers' tokens by team.
+    /// Caller tokens by team.
     #[serde(default)]
     pub tokens: BTreeMap<String, String>,
-    /// The operator, if the user is one.
+    /// Operator credentials, for operator commands and for teams without a token.
     #[serde(default)]
     pub operator: Option<OperatorSecret>,
-    /// Certificate in PEM that signs those of the entry instances, for `https` URLs.
+    /// PEM certificate of the authority that signs the instances' certificates, for `https` URLs.
     #[serde(default)]
     pub certificate: Option<String>,
 }
 
 impl ClientSettings {
-    /// Reads settings from text.
+    /// Parses settings from JSON with comments.
     ///
     /// # Errors
     ///
@@ -60,16 +60,16 @@
         })
     }
 
-    /// File that the last `bankvalve dev` of this user wrote.
+    /// Returns the path of the file that `bankvalve dev` writes.
     pub fn dev_file() -> PathBuf {
         std::env::temp_dir().join("bankvalve-dev-client.json")
     }
 
-    /// Reads the file that was named, or the one of the last `bankvalve dev`.
+    /// Reads the named file, or the file that the last `bankvalve dev` wrote if `named` is `None`.
     ///
     /// # Errors
     ///
-    /// Returns why there are no settings to use.
+    /// Returns why the file cannot be read, or the first problem in it.
     pub fn load(named: Option<&str>) -> Result<Self, CommandFailure> {
         let path = named.map_or_else(Self::dev_file, PathBuf::from);
         let shown = path.display().to_string();
--- a/crates/bankvalve/src/command/command_failure.rs
+++ b/crates/bankvalve/src/command/command_failure.rs
@@ -1,16 +1,16 @@
-//! Why a command failed, and the exit code for it.
+//! Command failures and their exit codes.
 
 use std::fmt;
 use std::process::ExitCode;
 
-/// Kind of a failure; each has an exit code.
+/// Kind of a failure, which determines the exit code.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FailureKind {
-    /// What was asked was certainly not done: exit code 1.
+    /// The command is known not to have taken effect: exit code 1.
     NotRun,
-    /// A file or an argument is not as it must be: exit code 2.
+    /// A file or an argument is invalid: exit code 2.
     BadInput,
-    /// It is not known whether it was done: exit code 3.
+    /// The command may or may not have taken effect: exit code 3.
     Unknown,
     /// No entry instance could be reached: exit code 4.
     Unreachable,
@@ -19,16 +19,16 @@
 /// A failed command.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CommandFailure {
-    /// Its kind.
+    /// Kind of the failure.
     pub kind: FailureKind,
     /// What went wrong and what was expected.
     pub text: String,
-    /// When to come back, in milliseconds, if that may help.
+    /// Delay before a retry in milliseconds, or `None` if the answer named none.
     pub retry_after_ms: Option<u64>,
 }
 
 impl CommandFailure {
-    /// Makes a failure.
+    /// Creates a failure without a retry delay.
     pub fn new(kind: FailureKind, text: impl Into<String>) -> Self {
         let text = text.into();
         Self {
@@ -38,12 +38,12 @@
         }
     }
 
-    /// Makes a failure for a file that is not as it must be.
+    /// Creates a `BadInput` failure for a file that is invalid or cannot be accessed.
     pub fn file(path: &str, problem: impl fmt::Display) -> Self {
         Self::new(FailureKind::BadInput, format!("{path}: {problem}"))
     }
 
-    /// The exit code.
+    /// Returns the exit code of the process.
     pub fn exit_code(&self) -> ExitCode {
         ExitCode::from(match self.kind {
             FailureKind::NotRun => 1,
--- a/crates/bankvalve/src/command/job_commands.rs
+++ b/crates/bankvalve/src/command/job_commands.rs
@@ -1,4 +1,4 @@
-//! Commands of callers: submit, cancel, status, record, request.
+//! Commands for callers: submit, cancel, status, record, request.
 
 use std::process::ExitCode;
 use std::time::{Duration, Instant};
@@ -11,12 +11,12 @@
 use super::{CommandFailure, FailureKind, JobFile};
 use crate::serve::RecordEntry;
 
-/// Time between two looks at a job that is waited for.
-const LOOK: Duration = Duration::from_millis(500);
-/// Time for which a job is looked for while instances cannot say how it stands.
-const PATIENCE: Duration = Duration::from_secs(60);
+/// Interval at which `wait_for` polls the status of a job.
+const STATUS_POLL_INTERVAL: Duration = Duration::from_millis(500);
+/// How long `wait_for` keeps polling without a successful answer.
+const STATUS_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Submits the jobs of a file.
+/// Submits the jobs of a file and optionally waits until they have finished.
 pub(super) fn submit(
     options: &ClientOptions,
     file: &str,
@@ -36,11 +36,11 @@
     if !wait {
         return Ok(ExitCode::SUCCESS);
     }
-    let mut good = true;
+    let mut all_done = true;
     for job in &jobs {
-        good &= wait_for(&client, &job.team, &job.id)?.phase == "done";
+        all_done &= wait_for(&client, &job.team, &job.id)?.phase == "done";
     }
-    Ok(if good {
+    Ok(if all_done {
         ExitCode::SUCCESS
     } else {
         ExitCode::FAILURE
@@ -59,7 +59,7 @@
     Ok(ExitCode::SUCCESS)
 }
 
-/// Tells how a team's jobs stand, or the tasks of one.
+/// Prints the status of a team's jobs, or of one job and its tasks.
 pub(super) fn status(
     options: &ClientOptions,
     team: &str,
@@ -85,18 +85,20 @@
     })
 }
 
-/// Waits until a job is over, or a service runs whole, showing progress.
+/// Waits until a job has finished or all tasks of a service are running, and prints progress to stderr.
+///
+/// Returns an error after 60 s without a successful answer, or at once for invalid input.
 pub(crate) fn wait_for(
     client: &ApiClient,
     team: &str,
     job: &str,
 ) -> Result<JobView, CommandFailure> {
     let mut shown = String::new();
-    let mut heard = Instant::now();
+    let mut last_answer = Instant::now();
     loop {
         match client.status(team, job) {
             Ok(view) => {
-                heard = Instant::now();
+                last_answer = Instant::now();
                 let progress = progress_of(&view);
                 if progress != shown {
                     eprintln!("job {job} of team {team}: {progress}");
@@ -107,11 +109,11 @@
                     return Ok(view);
                 }
             }
-            Err(failure) if heard.elapsed() > PATIENCE => return Err(failure),
+            Err(failure) if last_answer.elapsed() > STATUS_TIMEOUT => return Err(failure),
             Err(failure) if failure.kind == FailureKind::BadInput => return Err(failure),
             Err(_) => {}
         }
-        std::thread::sleep(LOOK);
+        std::thread::sleep(STATUS_POLL_INTERVAL);
     }
 }
 
@@ -132,7 +134,7 @@
     text
 }
 
-/// Prints the verified record.
+/// Prints the verified record of a team or of one job.
 pub(super) fn record(
     options: &ClientOptions,
     team: &str,
--- a/crates/bankvalve/src/command/job_file.rs
+++ b/crates/bankvalve/src/command/job_file.rs
@@ -1,4 +1,4 @@
-//! Files that describe jobs.
+//! Job files for `bankvalve submit`.
 
 use bankvalve_cell::contract::JobSpec;
 use serde::{Deserialize, Serialize};
@@ -6,16 +6,16 @@
 use super::CommandFailure;
 use crate::settings::parse_jsonc;
 
-/// Jobs that are submitted together, each for itself.
+/// Jobs that are submitted one by one, each with a request of its own.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct JobFile {
-    /// The jobs, in the order in which they are submitted.
+    /// The jobs, in submission order.
     pub jobs: Vec<JobSpec>,
 }
 
 impl JobFile {
-    /// Reads and checks a file.
+    /// Reads and validates a job file.
     ///
     /// # Errors
     ///
@@ -31,16 +31,16 @@
             return Err(("jobs".into(), "expected at least one job".into()));
         }
         for (index, job) in self.jobs.iter().enumerate() {
-            let place = |field: &str| format!("jobs[{index}].{field}");
+            let field_path = |field: &str| format!("jobs[{index}].{field}");
             job.check().map_err(|problem| {
                 (
-                    place(&problem.field),
+                    field_path(&problem.field),
                     format!("expected {}", problem.expected),
                 )
             })?;
             let same = |other: &JobSpec| other.id == job.id && other.team == job.team;
             if self.jobs[..index].iter().any(same) {
-                return Err((place("id"), "expected each id once in a team".into()));
+                return Err((field_path("id"), "expected each id once in a team".into()));
             }
         }
         Ok(())
--- a/crates/bankvalve/src/command/mod.rs
+++ b/crates/bankvalve/src/command/mod.rs
@@ -31,15 +31,15 @@
 
 use options::{BundleCommand, InstanceCommand, KeyCommand, SettingsCommand, WorkerCommand};
 
-/// Width of the help in characters.
-const LINE_WIDTH: usize = 100;
+/// Maximum line width of help and parse errors, in characters.
+const HELP_WIDTH: usize = 100;
 
-/// Runs the command line of this process.
+/// Parses the arguments of this process, runs the command and returns the exit code.
 pub fn run() -> ExitCode {
     let command = match command_line().run_inner(Args::current_args()) {
         Ok(command) => command,
         Err(failure) => {
-            failure.print_message(LINE_WIDTH);
+            failure.print_message(HELP_WIDTH);
             let asked_for = failure.exit_code() == 0;
             return ExitCode::from(if asked_for { 0 } else { 2 });
         }
--- a/crates/bankvalve/src/command/operator_commands.rs
+++ b/crates/bankvalve/src/command/operator_commands.rs
@@ -1,4 +1,4 @@
-//! Commands of operators: workers, instances, bundles, keys.
+//! Commands for operators: workers, instances, bundles, keys, log level.
 
 use std::process::ExitCode;
 
@@ -13,7 +13,7 @@
 use super::CommandFailure;
 use crate::settings::parse_jsonc;
 
-/// Lists all workers.
+/// Prints all workers.
 pub(super) fn workers(options: &ClientOptions) -> Result<ExitCode, CommandFailure> {
     let views = options.connect()?.workers()?;
     print_value(options.output, &views, |views| print_workers(views));
@@ -55,7 +55,7 @@
     print_rows(&headings, &rows);
 }
 
-/// Drains a worker, or undoes that.
+/// Drains a worker, or ends its drain.
 pub(super) fn drain_worker(
     options: &ClientOptions,
     name: &str,
@@ -68,7 +68,7 @@
     Ok(ExitCode::SUCCESS)
 }
 
-/// Lists all entry instances and what they own.
+/// Prints all entry instances and the partitions that they own.
 pub(super) fn instances(options: &ClientOptions) -> Result<ExitCode, CommandFailure> {
     let list = options.connect()?.instances()?;
     print_value(options.output, &list, |list| {
@@ -99,7 +99,7 @@
     Ok(ExitCode::SUCCESS)
 }
 
-/// Stops an entry instance as planned.
+/// Starts the planned stop of an entry instance.
 pub(super) fn drain_instance(
     options: &ClientOptions,
     name: &str,
@@ -110,7 +110,7 @@
     Ok(ExitCode::SUCCESS)
 }
 
-/// Shows the bundle in force.
+/// Prints the bundle in force.
 pub(super) fn bundle(options: &ClientOptions) -> Result<ExitCode, CommandFailure> {
     let shown = options.connect()?.bundle()?;
     let text = serde_json::to_string_pretty(&shown).unwrap_or_default();
@@ -118,7 +118,7 @@
     Ok(ExitCode::SUCCESS)
 }
 
-/// Checks a bundle without a cell.
+/// Validates a bundle file without contacting a cell.
 pub(super) fn check_bundle(file: &str) -> Result<ExitCode, CommandFailure> {
     let bundle = load_bundle(file)?;
     print_line(format!("{file}: version {} is well formed", bundle.version));
@@ -156,7 +156,7 @@
     Ok(ExitCode::SUCCESS)
 }
 
-/// Makes a key for an operator.
+/// Generates an operator key pair and prints its parts for the client file and the settings.
 pub(super) fn new_operator(name: &str) -> Result<ExitCode, CommandFailure> {
     let secret = hex::encode(rand::random::<[u8; 32]>());
     let signer = OperatorSigner::new(name, &secret);
@@ -169,7 +169,7 @@
     Ok(ExitCode::SUCCESS)
 }
 
-/// Makes a token for a team's callers.
+/// Generates a caller token for a team and prints it for the client file, and its hash for the settings.
 pub(super) fn new_token(team: &str) -> Result<ExitCode, CommandFailure> {
     let token = hex::encode(rand::random::<[u8; 24]>());
     let shown = json!({
@@ -180,7 +180,7 @@
     Ok(ExitCode::SUCCESS)
 }
 
-/// SHA-256 of a token in hexadecimal, as the settings hold it.
+/// Returns the SHA-256 of a token in hexadecimal, the form in which the settings store it.
 pub fn token_hash(token: &str) -> String {
     hex::encode(Sha256::digest(token.as_bytes()))
 }
--- a/crates/bankvalve/src/command/options.rs
+++ b/crates/bankvalve/src/command/options.rs
@@ -1,22 +1,24 @@
-//! What can be said on the command line.
+//! Definition of the command line.
+//!
+//! The doc comments of the types that derive `Bpaf` are the help texts.
 
 use bpaf::Bpaf;
 
 use super::{ApiClient, ClientSettings, CommandFailure};
 
-/// Exit codes, for the help.
+/// Explanation of the exit codes in the help.
 const EXIT_CODES: &str =
     "Exit codes: 0 done; 1 refused, certainly not done, or a job that failed; \
      2 a file or an argument is not as it must be; 3 not known whether it was done; \
      4 no entry instance could be reached.";
 
-/// How results are shown.
+/// Format in which results are printed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum OutputFormat {
-    /// For people.
+    /// Tables for people.
     #[default]
     Table,
-    /// For programs.
+    /// JSON for programs.
     Json,
 }
 
@@ -45,7 +47,7 @@
 }
 
 impl ClientOptions {
-    /// A client for the cell that the options name.
+    /// Creates a client from the settings file that the options name.
     pub(super) fn connect(&self) -> Result<ApiClient, CommandFailure> {
         ApiClient::new(ClientSettings::load(self.client.as_deref())?)
     }
--- a/crates/bankvalve/src/command/render.rs
+++ b/crates/bankvalve/src/command/render.rs
@@ -1,4 +1,4 @@
-//! Tables for people, JSON for programs.
+//! Output to stdout, as tables for people or JSON for programs.
 
 use std::io::Write;
 
@@ -6,7 +6,9 @@
 
 use super::options::OutputFormat;
 
-/// Prints a line; a reader that has gone away ends the process quietly.
+/// Prints a line to stdout.
+///
+/// Ends the process with exit code 0 if the write fails, as when the reader of a pipe has closed it.
 pub(crate) fn print_line(line: impl std::fmt::Display) {
     let written = writeln!(std::io::stdout(), "{line}");
     if written.is_err() {
@@ -14,7 +16,7 @@
     }
 }
 
-/// Prints rows under headings, columns lined up.
+/// Prints rows under headings, in aligned columns.
 pub(crate) fn print_rows(headings: &[&str], rows: &[Vec<String>]) {
     let mut widths: Vec<usize> = headings.iter().map(|heading| heading.len()).collect();
     for row in rows {
@@ -36,7 +38,7 @@
     }
 }
 
-/// Prints a value as JSON, or as a table through `table`.
+/// Prints a value as JSON, or calls `table` to print it as a table.
 pub(super) fn print_value<T: Serialize>(output: OutputFormat, value: &T, table: impl FnOnce(&T)) {
     match output {
         OutputFormat::Table => table(value),
--- a/crates/bankvalve/src/command/serve_command.rs
+++ b/crates/bankvalve/src/command/serve_command.rs
@@ -1,4 +1,4 @@
-//! The daemon, and commands that need no cell.
+//! The `serve` command, and the commands that contact no cell.
 
 use std::process::ExitCode;
 use std::sync::atomic::AtomicBool;
@@ -26,7 +26,7 @@
     ServeSettings::parse(&text).map_err(|problem| CommandFailure::file(file, problem))
 }
 
-/// Settings of a site, if the file holds such.
+/// Reads site settings, or returns `None` if the file has settings of another kind.
 fn load_site(file: &str) -> Result<Option<SiteSettings>, CommandFailure> {
     let text = read(file)?;
     if !SiteSettings::is_meant(&text) {
@@ -38,8 +38,9 @@
         .map_err(|problem| CommandFailure::file(file, problem))
 }
 
-/// Runs an entry instance at a site until SIGTERM or SIGINT. Why a start failed is told on the
-/// log as well.
+/// Runs an entry instance at a site until SIGTERM or SIGINT.
+///
+/// Writes the reason of a failed start to the decision log as well.
 fn serve_site(file: &str, text: &str) -> Result<ExitCode, CommandFailure> {
     let (log, _) = DecisionLog::start().map_err(bad_input)?;
     let outcome = run_site(file, text, &log);
@@ -59,12 +60,12 @@
     let level = settings.log_level().unwrap_or(log::LevelFilter::Info);
     crate::logging::set_level(level);
     let mut signals = Signals::new([SIGTERM, SIGINT, SIGHUP]).map_err(bad_input)?;
-    let told_to_stop = Arc::new(AtomicBool::new(false));
+    let stop_requested = Arc::new(AtomicBool::new(false));
     for signal in [SIGTERM, SIGINT] {
-        signal_hook::flag::register(signal, told_to_stop.clone()).map_err(bad_input)?;
+        signal_hook::flag::register(signal, stop_requested.clone()).map_err(bad_input)?;
     }
     let port = bankvalve_platform::port();
-    let process = match EntryProcess::start(&settings, port, log, &told_to_stop) {
+    let process = match EntryProcess::start(&settings, port, log, &stop_requested) {
         Ok(process) => process,
         Err(report) if *report.current_context() == ServeFailure::Stopped => {
             log.note(LineLevel::Info, process_line("stopped", one_line(&report)));
@@ -79,7 +80,7 @@
         match load_site(file) {
             Ok(Some(settings)) => process.reload(&settings),
             Ok(None) => log::error!("settings: {file}: expected the settings of a site"),
-            Err(failure) => log::error!("settings: kept as they were: {failure}"),
+            Err(failure) => log::error!("settings: reload failed, old settings kept: {failure}"),
         }
     }
     process.stop();
@@ -99,7 +100,7 @@
     CommandFailure::new(FailureKind::BadInput, problem.to_string())
 }
 
-/// The step that failed, its causes and what was attached to them, as one line of plain text.
+/// Formats the failed step, its causes and the texts attached to them as one line.
 fn one_line(report: &Report<ServeFailure>) -> String {
     let attached = report
         .frames()
@@ -108,7 +109,7 @@
     format!("{report:#}{}", attached.collect::<String>())
 }
 
-/// Runs an entry instance until SIGTERM or SIGINT, then stops as planned.
+/// Runs an entry instance until SIGTERM, SIGINT or a drain by an operator, then performs a planned stop.
 pub(super) fn serve(file: &str) -> Result<ExitCode, CommandFailure> {
     let text = read(file)?;
     if SiteSettings::is_meant(&text) {
@@ -138,7 +139,7 @@
     })
 }
 
-/// Checks settings without starting.
+/// Validates a settings file without starting an instance.
 pub(super) fn check_settings(file: &str) -> Result<ExitCode, CommandFailure> {
     let name = match load_site(file)? {
         Some(site) => site.site.name,
