--- a/crates/bankvalve/src/lib.rs
+++ b/crates/bankvalve/src/lib.rs
@@ -1,8 +1,8 @@
 //! The bankvalve binary: command line, settings, threads, links and metrics.
 //!
-//! The decisions are in `bankvalve_cell`; [`serve`] puts threads, sockets and
-//! clocks around them. [`settings`] reads what an instance is told, and
-//! [`command`] is the command line.
+//! The scheduling decisions of a cell are made in `bankvalve_cell`; [`serve`] runs them with threads,
+//! sockets and clocks. [`settings`] parses and validates the settings of an instance, and [`command`]
+//! is the command line.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
--- a/crates/bankvalve/src/logging.rs
+++ b/crates/bankvalve/src/logging.rs
@@ -1,4 +1,4 @@
-//! Logs through log4rs, with a level that can be changed while running.
+//! Logging through log4rs, with a level that can be changed at run time.
 
 use std::sync::{Mutex, OnceLock};
 
@@ -7,24 +7,24 @@
 use log4rs::config::{Appender, Config, Logger, Root};
 use log4rs::encode::pattern::PatternEncoder;
 
-/// Layout of a line; the message itself begins with the prefix of its part.
-const LINE: &str = "{d(%Y-%m-%dT%H:%M:%S%.3f%Z)(utc)} {l:<5} {m}{n}";
+/// log4rs pattern of a line. By convention, a message starts with the part that logs it, such as `client:`.
+const LINE_PATTERN: &str = "{d(%Y-%m-%dT%H:%M:%S%.3f%Z)(utc)} {l:<5} {m}{n}";
 
-/// Crates whose level is set; libraries log warnings and errors only.
-const OWN_PARTS: [&str; 3] = ["bankvalve", "bankvalve_cell", "bankvalve_link"];
+/// Crates that log at the configured level. All other crates log warnings and errors at most.
+const OWN_CRATES: [&str; 3] = ["bankvalve", "bankvalve_cell", "bankvalve_link"];
 
 static HANDLE: OnceLock<Mutex<log4rs::Handle>> = OnceLock::new();
 
 fn config(level: LevelFilter) -> Config {
-    let encoder = Box::new(PatternEncoder::new(LINE));
+    let encoder = Box::new(PatternEncoder::new(LINE_PATTERN));
     let console = ConsoleAppender::builder()
         .target(Target::Stderr)
         .encoder(encoder)
         .build();
     let mut builder =
         Config::builder().appender(Appender::builder().build("stderr", Box::new(console)));
-    for part in OWN_PARTS {
-        builder = builder.logger(Logger::builder().build(part, level));
+    for crate_name in OWN_CRATES {
+        builder = builder.logger(Logger::builder().build(crate_name, level));
     }
     let others = level.min(LevelFilter::Warn);
     builder
@@ -32,7 +32,7 @@
         .expect("one appender and its loggers make a configuration")
 }
 
-/// Starts logging to standard error; a second call only changes the level.
+/// Starts logging to stderr at the given level, or changes the level if logging has already started.
 ///
 /// # Examples
 ///
