--- a/crates/bankvalve/src/settings/field_check.rs
+++ b/crates/bankvalve/src/settings/field_check.rs
@@ -1,34 +1,34 @@
-//! Checks of single fields, which say what was expected.
+//! Checks of single fields. A failed check returns the field and what was expected of it.
 
-/// Longest name of an instance, region or failure domain, in bytes.
-const NAME_LIMIT: usize = 60;
+/// Maximum length of the name of an instance, region or failure domain, in bytes.
+const MAX_NAME_BYTES: usize = 60;
 
 pub(super) fn check_name(field: &str, name: &str) -> Result<(), (String, String)> {
-    let letters = |byte: u8| byte.is_ascii_alphanumeric() || b"-_.".contains(&byte);
-    if !name.is_empty() && name.len() <= NAME_LIMIT && name.bytes().all(letters) {
+    let is_allowed = |byte: u8| byte.is_ascii_alphanumeric() || b"-_.".contains(&byte);
+    if !name.is_empty() && name.len() <= MAX_NAME_BYTES && name.bytes().all(is_allowed) {
         return Ok(());
     }
-    let expected = format!("expected 1 to {NAME_LIMIT} letters, digits, '-', '_' or '.'");
+    let expected = format!("expected 1 to {MAX_NAME_BYTES} letters, digits, '-', '_' or '.'");
     Err((field.to_owned(), expected))
 }
 
-pub(super) fn check_positive(field: &str, value: f64, most: f64) -> Result<(), (String, String)> {
-    if value > 0.0 && value <= most {
+pub(super) fn check_positive(field: &str, value: f64, max: f64) -> Result<(), (String, String)> {
+    if value > 0.0 && value <= max {
         return Ok(());
     }
-    let expected = format!("expected more than 0 and at most {most}, found {value}");
+    let expected = format!("expected more than 0 and at most {max}, found {value}");
     Err((field.to_owned(), expected))
 }
 
 pub(super) fn check_range(
     field: &str,
     value: u64,
-    least: u64,
-    most: u64,
+    min: u64,
+    max: u64,
 ) -> Result<(), (String, String)> {
-    if (least..=most).contains(&value) {
+    if (min..=max).contains(&value) {
         return Ok(());
     }
-    let expected = format!("expected {least} to {most}, found {value}");
+    let expected = format!("expected {min} to {max}, found {value}");
     Err((field.to_owned(), expected))
 }
--- a/crates/bankvalve/src/settings/instance_settings.rs
+++ b/crates/bankvalve/src/settings/instance_settings.rs
@@ -1,4 +1,6 @@
-//! The settings of an entry instance, typed.
+//! Typed settings of an entry instance of a cell.
+//!
+//! The doc comments of the types that derive `JsonSchema` are part of the settings schema.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -12,12 +14,12 @@
 use super::field_check::{check_name, check_range};
 use super::{parse_jsonc, SettingsProblem};
 
-/// Shortest key that peers share, in characters.
-const PEER_KEY_LEAST: usize = 16;
-/// Most partitions of one kind.
-const PARTITION_LIMIT: u32 = 1_024;
-/// Longest time that may be set, in milliseconds: a day.
-const TIME_LIMIT_MS: u64 = 86_400_000;
+/// Minimum length of the key that peers share, in bytes.
+const MIN_PEER_KEY_BYTES: usize = 16;
+/// Maximum number of worker partitions per region, and of team partitions in the cell.
+const MAX_PARTITIONS: u32 = 1_024;
+/// Maximum of all times, in milliseconds: one day.
+const MAX_TIME_MS: u64 = 86_400_000;
 
 /// Who the instance is and where it stands.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
@@ -206,7 +208,7 @@
 }
 
 impl LogSettings {
-    /// The log level.
+    /// Returns the log level.
     ///
     /// # Errors
     ///
@@ -245,7 +247,7 @@
 }
 
 impl ServeSettings {
-    /// Reads settings from text and checks every field.
+    /// Parses settings from JSON with comments and validates every field.
     ///
     /// # Errors
     ///
@@ -274,7 +276,7 @@
         self.log_level().map(|_| ())
     }
 
-    /// The log level.
+    /// Returns the log level.
     ///
     /// # Errors
     ///
@@ -283,7 +285,7 @@
         self.log.parse_level()
     }
 
-    /// The instance, as peers see it.
+    /// Returns the description of this instance that peers receive.
     pub fn instance_detail(&self) -> InstanceDetail {
         let advertised = self.listen.peers_advertised;
         InstanceDetail {
@@ -295,7 +297,7 @@
         }
     }
 
-    /// How the cell is cut.
+    /// Returns how the cell is divided into partitions.
     pub fn partition_plan(&self) -> PartitionPlan {
         PartitionPlan {
             regions: self.cell.regions.clone(),
@@ -304,7 +306,7 @@
         }
     }
 
-    /// Times of the decisions.
+    /// Returns the timings for the decisions that `bankvalve_cell` makes.
     pub fn cell_timings(&self) -> CellTimings {
         let times = &self.timings_ms;
         let ms = Duration::from_millis;
@@ -324,7 +326,7 @@
         }
     }
 
-    /// Keys that are accepted.
+    /// Returns the keys of callers, operators and peers that the instance accepts.
     ///
     /// # Errors
     ///
@@ -339,7 +341,7 @@
         })
     }
 
-    /// Key and certificate of the callers' listener, if it encrypts.
+    /// Reads the certificate and key of the callers' listener, or returns `None` if it does not use TLS.
     ///
     /// # Errors
     ///
@@ -361,7 +363,7 @@
             .map_err(|expected| ("listen.callers_tls".into(), expected))
     }
 
-    /// Limits of the callers' listener.
+    /// Returns the limits of the callers' listener.
     pub fn caller_limits(&self) -> ServerLimits {
         ServerLimits {
             connections: self.limits.caller_connections,
@@ -372,7 +374,7 @@
         }
     }
 
-    /// Limits of the peers' listener.
+    /// Returns the limits of the peers' listener. The limit of a body is at least 8 MiB.
     pub fn peer_limits(&self) -> ServerLimits {
         ServerLimits {
             connections: self.limits.peer_connections,
@@ -435,7 +437,7 @@
                 return Err((format!("cell.regions[{index}]"), expected.into()));
             }
         }
-        let limit = u64::from(PARTITION_LIMIT);
+        let limit = u64::from(MAX_PARTITIONS);
         let field = "cell.worker_partitions_per_region";
         check_range(
             field,
@@ -448,8 +450,8 @@
     }
 
     fn check_keys(&self) -> Result<(), (String, String)> {
-        if self.keys.peer_key.len() < PEER_KEY_LEAST {
-            let expected = format!("expected at least {PEER_KEY_LEAST} characters");
+        if self.keys.peer_key.len() < MIN_PEER_KEY_BYTES {
+            let expected = format!("expected at least {MIN_PEER_KEY_BYTES} characters");
             return Err(("keys.peer_key".into(), expected));
         }
         self.key_ring().map(|_| ())
@@ -458,7 +460,7 @@
     fn check_timings(&self) -> Result<(), (String, String)> {
         let times = &self.timings_ms;
         for (name, value) in times.all() {
-            check_range(&format!("timings_ms.{name}"), value, 1, TIME_LIMIT_MS)?;
+            check_range(&format!("timings_ms.{name}"), value, 1, MAX_TIME_MS)?;
         }
         if times.worker_heartbeat * 3 > times.worker_lease {
             let expected = "expected at most a third of timings_ms.worker_lease";
@@ -484,8 +486,8 @@
             1_024,
             64 << 20,
         )?;
-        check_range("limits.header_ms", limits.header_ms, 1, TIME_LIMIT_MS)?;
-        check_range("limits.body_ms", limits.body_ms, 1, TIME_LIMIT_MS)?;
+        check_range("limits.header_ms", limits.header_ms, 1, MAX_TIME_MS)?;
+        check_range("limits.body_ms", limits.body_ms, 1, MAX_TIME_MS)?;
         check_range("limits.ring", number(limits.ring), 64, 1 << 20)
     }
 }
--- a/crates/bankvalve/src/settings/mod.rs
+++ b/crates/bankvalve/src/settings/mod.rs
@@ -1,4 +1,4 @@
-//! Settings of an entry instance: JSON with comments, every key checked.
+//! Settings of an entry instance: JSON with comments, in which unknown and repeated keys are errors.
 
 mod field_check;
 mod instance_settings;
@@ -16,5 +16,5 @@
     SiteSettings,
 };
 
-/// The commented default settings.
+/// Text of the default settings, with comments.
 pub const DEFAULT_SETTINGS: &str = include_str!("default.jsonc");
--- a/crates/bankvalve/src/settings/settings_file.rs
+++ b/crates/bankvalve/src/settings/settings_file.rs
@@ -1,4 +1,4 @@
-//! Reads JSON with comments and says where a value is not as it must be.
+//! Parses JSON with comments and reports the line and field of an invalid value.
 
 use std::fmt;
 
@@ -7,14 +7,14 @@
 use jsonc_parser::{parse_to_ast, parse_to_serde_value, CollectOptions, ParseOptions};
 use serde::de::DeserializeOwned;
 
-/// A value that is not as it must be.
+/// An invalid value in a settings file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SettingsProblem {
-    /// Line in the file, from one.
+    /// Line in the file, counted from 1.
     pub line: usize,
-    /// Path of the field, such as `listen.callers`; `file` for the whole.
+    /// Path of the field, such as `listen.callers`, or `file` if the problem concerns the whole file.
     pub field: String,
-    /// What was expected, or what is wrong.
+    /// What was expected, or an error message.
     pub expected: String,
 }
 
@@ -26,7 +26,7 @@
 
 impl std::error::Error for SettingsProblem {}
 
-/// Comments and trailing commas are allowed; all else is JSON.
+/// Returns parser options that allow comments and trailing commas, and otherwise require strict JSON.
 fn strict_options() -> ParseOptions {
     ParseOptions {
         allow_comments: true,
@@ -42,7 +42,7 @@
     }
 }
 
-/// Text that was parsed, for looking up lines.
+/// A text and its syntax tree, which give the line of a field.
 pub(super) struct ParsedText<'a> {
     text: &'a str,
     root: Option<Value<'a>>,
@@ -71,7 +71,7 @@
             .count()
     }
 
-    /// Line of the deepest part of a path that is in the text.
+    /// Returns the line of a field, or of its innermost parent that is in the text.
     pub(super) fn line_of(&self, path: &str) -> usize {
         let Some(mut value) = self.root.as_ref() else {
             return 1;
@@ -103,13 +103,14 @@
     path.split(['.', '[', ']']).filter(|part| !part.is_empty())
 }
 
-/// Parses JSON with comments into a value, naming the field and line at fault.
+/// Parses JSON with comments into a value.
 ///
-/// `check` looks at the whole value and names the field and what was expected.
+/// `check` validates the parsed value. For an invalid value it returns the path of the field and what was
+/// expected of it.
 ///
 /// # Errors
 ///
-/// Returns the first problem.
+/// Returns the first problem, with its line and field.
 ///
 /// # Examples
 ///
@@ -145,7 +146,7 @@
     let typed: T = serde_path_to_error::deserialize(value).map_err(|error| {
         let path = error.path().to_string();
         let message = error.inner().to_string();
-        let field = field_of(&path, &message);
+        let field = field_of_error(&path, &message);
         SettingsProblem {
             line: parsed.line_of(&field),
             field,
@@ -160,8 +161,11 @@
     Ok(typed)
 }
 
-/// Adds the name of an unknown or missing field to the path of its parent.
-fn field_of(path: &str, message: &str) -> String {
+/// Returns the path of the field that a deserialization error is about.
+///
+/// The error path of an unknown or missing field may end at its parent. The name of the field is then taken
+/// from the error message and appended.
+fn field_of_error(path: &str, message: &str) -> String {
     let named = ["unknown field `", "missing field `"]
         .iter()
         .find_map(|start| message.strip_prefix(start))
--- a/crates/bankvalve/src/settings/site_settings.rs
+++ b/crates/bankvalve/src/settings/site_settings.rs
@@ -1,4 +1,6 @@
-//! The settings of an entry instance on the users' platform, typed.
+//! Typed settings of an entry instance on the users' platform.
+//!
+//! The doc comments of the types that derive `JsonSchema` are part of the settings schema.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -9,12 +11,12 @@
 use super::field_check::{check_name, check_positive, check_range};
 use super::{parse_jsonc, LogSettings, SettingsProblem};
 
-/// Key that tells settings of this kind from those of a cell of one's own.
+/// Top-level key that only site settings have, which distinguishes them from `ServeSettings`.
 const SITE_KEY: &str = "site";
-/// Longest time that may be set, in milliseconds: a day.
-const TIME_LIMIT_MS: u64 = 86_400_000;
-/// Greatest share or speed of a processor that may be set.
-const PROCESSOR_LIMIT: f64 = 1_000.0;
+/// Maximum of all times, in milliseconds: one day.
+const MAX_TIME_MS: u64 = 86_400_000;
+/// Maximum of `processor.share` and `processor.speed`.
+const MAX_PROCESSOR_VALUE: f64 = 1_000.0;
 
 /// Who the instance is and where it stands.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
@@ -89,7 +91,7 @@
 }
 
 impl SiteProcessor {
-    /// The processor in thousandths of a usual core.
+    /// Returns the CPU capacity in thousandths of a core of speed 1.
     ///
     /// # Examples
     ///
@@ -140,8 +142,10 @@
 }
 
 impl SiteKeys {
-    /// Time since it was last known that keys still hold, after which requests with one are
-    /// refused; none if they never are for that.
+    /// Returns the maximum age of the last confirmation that keys are still valid.
+    ///
+    /// Once the confirmation is older, requests with a key are refused. Returns `None` if they are never
+    /// refused for this reason.
     ///
     /// # Examples
     ///
@@ -184,7 +188,7 @@
 }
 
 impl SiteSettings {
-    /// Tells whether a text holds settings of this kind.
+    /// Returns whether a text parses as JSON and has the top-level key `site`, as site settings do.
     ///
     /// # Examples
     ///
@@ -200,7 +204,7 @@
         value.is_ok_and(|value: serde_json::Value| value.get(SITE_KEY).is_some())
     }
 
-    /// Reads settings from text and checks every field.
+    /// Parses settings from JSON with comments and validates every field.
     ///
     /// # Errors
     ///
@@ -209,7 +213,7 @@
         parse_jsonc(text, Self::check)
     }
 
-    /// The log level.
+    /// Returns the log level.
     ///
     /// # Errors
     ///
@@ -228,11 +232,11 @@
             ("bounds_ms.status", bounds.status, 1_000),
             ("bounds_ms.stop", bounds.stop, 500),
         ];
-        for (field, value, least) in times {
-            check_range(field, value, least, TIME_LIMIT_MS)?;
+        for (field, value, min) in times {
+            check_range(field, value, min, MAX_TIME_MS)?;
         }
         if self.keys.strict {
-            check_range("keys.revoke_ms", self.keys.revoke_ms, 1_000, TIME_LIMIT_MS)?;
+            check_range("keys.revoke_ms", self.keys.revoke_ms, 1_000, MAX_TIME_MS)?;
         }
         let processor = &self.processor;
         let fields = [
@@ -240,7 +244,7 @@
             ("processor.speed", processor.speed),
         ];
         for (field, value) in fields {
-            check_positive(field, value, PROCESSOR_LIMIT)?;
+            check_positive(field, value, MAX_PROCESSOR_VALUE)?;
         }
         let limits = &self.limits;
         check_range("limits.row_bytes", limits.row_bytes, 4_096, 1 << 24)?;
--- a/crates/bankvalve/tests/settings.rs
+++ b/crates/bankvalve/tests/settings.rs
@@ -1,16 +1,16 @@
-//! Broken settings are refused with line, field and what was expected.
+//! Tests that invalid settings are refused with the line, the field and what was expected.
 
 use std::process::Command;
 
 use bankvalve::settings::{ServeSettings, DEFAULT_SETTINGS};
 
-/// A way to break the default settings, and what is said of it.
+/// A replacement that makes the default settings invalid, and the problem that it must cause.
 struct BrokenCase {
     name: &'static str,
     from: &'static str,
     to: &'static str,
     field: &'static str,
-    says: &'static str,
+    expected_text: &'static str,
 }
 
 const fn broken(
@@ -18,14 +18,14 @@
     from: &'static str,
     to: &'static str,
     field: &'static str,
-    says: &'static str,
+    expected_text: &'static str,
 ) -> BrokenCase {
     BrokenCase {
         name,
         from,
         to,
         field,
-        says,
+        expected_text,
     }
 }
 
@@ -201,13 +201,13 @@
     ),
 ];
 
-/// Line of the first place where two texts differ, from one.
+/// Returns the first line in which two texts differ, counted from 1.
 fn first_difference(one: &str, other: &str) -> usize {
     let same = one.lines().zip(other.lines()).take_while(|(a, b)| a == b);
     same.count() + 1
 }
 
-/// Line of the default settings that holds a text, from one.
+/// Returns the first line of the default settings that contains a text, counted from 1.
 fn line_of(text: &str) -> usize {
     let before = DEFAULT_SETTINGS
         .lines()
@@ -223,12 +223,12 @@
         let problem = ServeSettings::parse(&text).expect_err(case.name);
         assert_eq!(problem.field, case.field, "{}: {problem}", case.name);
         assert!(
-            problem.expected.contains(case.says),
+            problem.expected.contains(case.expected_text),
             "{}: {problem}",
             case.name
         );
         let line = match case.name {
-            // The string runs on to the next quotation mark, where the text breaks.
+            // The unclosed string extends to the next quotation mark; the syntax error is reported there.
             "open string" => line_of("\"weight\": 1"),
             "missing key" => line_of("\"instance\": {"),
             "no region" => line_of("\"region\": \"tasmania\""),
