--- a/crates/bankvalve/examples/control_cost.rs
+++ b/crates/bankvalve/examples/control_cost.rs
@@ -1,8 +1,8 @@
-//! Measures the processor time of real entry instances at four numbers of workers.
+//! Measures the CPU time of entry instances with 50, 100, 200 and 400 workers.
 //!
 //! Run it with `cargo run --release --example control_cost -p bankvalve`.
-//! The threads of all instances run in this process and are told apart by
-//! their names; those of the stand-in are left out.
+//! All instances and the platform stand-in run in this process. CPU time is summed by thread name over
+//! all instances; the threads of the stand-in have other names and are not counted.
 
 use std::collections::BTreeMap;
 use std::fs;
@@ -14,24 +14,24 @@
 use bankvalve_cell::contract::{JobKind, JobSpec, PlaceRule};
 use bankvalve_cell::machine::TaskSize;
 
-/// Numbers of workers that are measured.
-const SIZES: [u32; 4] = [50, 100, 200, 400];
-/// Entry instances.
-const ENTRIES: u32 = 3;
-/// Time that is measured at each size.
-const TIME: Duration = Duration::from_secs(12);
-/// Pause between two jobs of ten tasks.
-const PAUSE: Duration = Duration::from_millis(1_000);
+/// Numbers of workers, each measured with a new cell.
+const WORKER_COUNTS: [u32; 4] = [50, 100, 200, 400];
+/// Number of entry instances.
+const ENTRY_COUNT: u32 = 3;
+/// Duration of the measurement for each number of workers.
+const RUN_DURATION: Duration = Duration::from_secs(12);
+/// Pause between two submissions, each of a job with ten tasks.
+const JOB_PAUSE: Duration = Duration::from_millis(1_000);
 /// Names of the threads of an entry instance.
 const THREADS: [&str; 6] = ["core", "links", "callers", "peers", "admin", "list"];
-/// Clock ticks a second in /proc, as usual on Linux.
-const TICKS: f64 = 100.0;
+/// Clock ticks per second of the times in `/proc`; 100 is the usual value on Linux.
+const TICKS_PER_SECOND: f64 = 100.0;
 
 fn main() -> Result<(), CommandFailure> {
     println!("workers,core_percent,links_percent,peers_percent,other_percent,process_rss_mib");
-    for workers in SIZES {
+    for workers in WORKER_COUNTS {
         let plan = DevPlan {
-            entries: ENTRIES,
+            entries: ENTRY_COUNT,
             workers,
             teams: Default::default(),
         };
@@ -41,10 +41,10 @@
         let begun = Instant::now();
         let client = cell.client()?;
         let mut number = 0;
-        while begun.elapsed() < TIME {
+        while begun.elapsed() < RUN_DURATION {
             number += 1;
             client.submit(&job(number))?;
-            thread::sleep(PAUSE);
+            thread::sleep(JOB_PAUSE);
         }
         let seconds = begun.elapsed().as_secs_f64();
         let after = thread_ticks();
@@ -53,7 +53,7 @@
                 .iter()
                 .map(|name| after.get(*name).unwrap_or(&0.0) - before.get(*name).unwrap_or(&0.0))
                 .sum();
-            100.0 * ticks / TICKS / seconds / f64::from(ENTRIES)
+            100.0 * ticks / TICKS_PER_SECOND / seconds / f64::from(ENTRY_COUNT)
         };
         println!(
             "{workers},{:.2},{:.2},{:.2},{:.2},{:.0}",
@@ -86,7 +86,7 @@
     }
 }
 
-/// Processor time of this process' threads by name, in ticks.
+/// Returns the CPU time of the instances' threads by thread name, in clock ticks.
 fn thread_ticks() -> BTreeMap<String, f64> {
     let mut sums = BTreeMap::new();
     let Ok(tasks) = fs::read_dir("/proc/self/task") else {
@@ -110,7 +110,7 @@
     sums
 }
 
-/// Resident memory of this process in MiB.
+/// Returns the resident memory of this process in MiB, or 0 if it cannot be read.
 fn resident_mib() -> f64 {
     let status = fs::read_to_string("/proc/self/status").unwrap_or_default();
     let line = status.lines().find(|line| line.starts_with("VmRSS:"));
--- a/crates/bankvalve/examples/idle_peers.rs
+++ b/crates/bankvalve/examples/idle_peers.rs
@@ -1,4 +1,4 @@
-//! Measures what idle and malformed peers cost honest callers, in one run.
+//! Measures how idle connections and malformed requests affect the latency of a regular caller.
 //!
 //! Run it with `cargo run --release --example idle_peers -p bankvalve`.
 
@@ -15,13 +15,13 @@
 use bankvalve_cell::machine::TaskSize;
 use hdrhistogram::Histogram;
 
-/// Idle connections that are held open.
-const IDLE: usize = 2_000;
-/// Requests of the honest caller in each part.
+/// Number of idle connections that are held open.
+const IDLE_CONNECTIONS: usize = 2_000;
+/// Requests that the regular caller sends in each measurement.
 const REQUESTS: usize = 2_000;
-/// Threads that send malformed requests.
+/// Number of threads that send malformed requests.
 const MALFORMED_THREADS: usize = 2;
-/// Pause between two malformed requests of a thread.
+/// Pause of each thread between two malformed requests.
 const MALFORMED_PAUSE: Duration = Duration::from_millis(1);
 
 fn main() -> Result<(), CommandFailure> {
@@ -39,7 +39,7 @@
     let address = cell.entry_urls()[0]
         .trim_start_matches("http://")
         .to_owned();
-    let idle: Vec<TcpStream> = (0..IDLE)
+    let idle: Vec<TcpStream> = (0..IDLE_CONNECTIONS)
         .filter_map(|_| TcpStream::connect(&address).ok())
         .collect();
     let stop = Arc::new(AtomicBool::new(false));
@@ -90,7 +90,7 @@
     Ok(())
 }
 
-/// Sends requests one after the other and returns the 99th percentile in microseconds.
+/// Sends requests one at a time, prints their latencies and returns the 99th percentile in microseconds.
 fn measure(client: &ApiClient, name: &str, count: usize) -> f64 {
     let bounds = Histogram::new_with_bounds(1, 60_000_000, 3);
     let mut times: Histogram<u64> = bounds.expect("the bounds are in order");
--- a/crates/bankvalve/src/dev/dev_cell.rs
+++ b/crates/bankvalve/src/dev/dev_cell.rs
@@ -1,4 +1,4 @@
-//! Entry instances and stand-ins in one process, on loopback.
+//! A small cell in one process: entry instances and a platform stand-in, on loopback addresses.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::TcpListener;
@@ -15,29 +15,29 @@
 use crate::serve::{InstanceListeners, InstanceProcess};
 use crate::settings::{ServeSettings, DEFAULT_SETTINGS};
 
-/// Failure domains of the small cell.
+/// Failure domains of the cell; with fewer than four workers, only the first ones have workers.
 const DOMAINS: [&str; 4] = ["hobart", "launceston", "devonport", "burnie"];
-/// Teams that the small cell knows besides those of the jobs.
+/// Teams of the cell in addition to those of the submitted jobs.
 const TEAMS: [&str; 2] = ["billing", "leakage"];
-/// Operator of the small cell.
+/// Name of the operator of the cell.
 const OPERATOR: &str = "dev";
-/// Time between two looks.
-const LOOK: Duration = Duration::from_millis(50);
-/// Seed of the stand-in's random faults.
+/// Interval between two checks while waiting.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
+/// Seed for the random faults of the platform stand-in.
 const SEED: u64 = 1;
 
-/// What the small cell consists of.
+/// Size and teams of a small cell.
 #[derive(Clone, Debug)]
 pub struct DevPlan {
-    /// Entry instances.
+    /// Number of entry instances.
     pub entries: u32,
-    /// Workers.
+    /// Number of workers.
     pub workers: u32,
-    /// Teams that submit jobs.
+    /// Teams that submit jobs, in addition to the default ones.
     pub teams: BTreeSet<String>,
 }
 
-/// A small cell.
+/// A running small cell.
 #[derive(Debug)]
 pub struct DevCell {
     platform: PlatformStandin,
@@ -48,7 +48,7 @@
 }
 
 impl DevCell {
-    /// Starts a small cell and puts its first bundle in force.
+    /// Starts a small cell and accepts its first bundle, which gives every team the same contract.
     ///
     /// # Errors
     ///
@@ -100,35 +100,35 @@
         Ok(cell)
     }
 
-    /// The entry instances.
+    /// Returns the entry instances.
     pub fn entries(&self) -> &[InstanceProcess] {
         &self.entries
     }
 
-    /// Base URLs of the entry instances.
+    /// Returns the base URLs of the entry instances.
     pub fn entry_urls(&self) -> Vec<String> {
         self.client.entries.clone()
     }
 
-    /// Base URL of the platform's stand-in.
+    /// Returns the base URL of the platform stand-in.
     pub fn platform_url(&self) -> String {
         self.platform.base_url()
     }
 
-    /// A client that may do everything.
+    /// Creates a client with the tokens of all teams and the operator's key.
     ///
     /// # Errors
     ///
-    /// Never for a cell that was started.
+    /// Returns an error if the operator's key is malformed, which cannot happen for a running cell.
     pub fn client(&self) -> Result<ApiClient, CommandFailure> {
         ApiClient::new(self.client.clone())
     }
 
-    /// Writes the file that the other commands read by default.
+    /// Writes the client settings file that the other commands read by default.
     ///
     /// # Errors
     ///
-    /// Returns why it cannot be written.
+    /// Returns why the file cannot be written.
     pub fn write_client_file(&self) -> Result<(), CommandFailure> {
         let text = serde_json::to_string_pretty(&self.client).unwrap_or_default();
         let path = ClientSettings::dev_file();
@@ -136,11 +136,11 @@
             .map_err(|error| CommandFailure::file(&path.display().to_string(), error))
     }
 
-    /// Waits until all instances are ready and all workers take work.
+    /// Waits until all partitions are owned, all instances are ready and all workers accept tasks.
     ///
     /// # Errors
     ///
-    /// Returns what is not ready in time.
+    /// Returns how many workers are ready if not all are ready within `time`.
     pub fn wait_until_ready(&self, time: Duration) -> Result<(), CommandFailure> {
         let begun = Instant::now();
         let client = self.client()?;
@@ -161,11 +161,11 @@
                 let text = format!("{working} of {} workers are ready in time", self.workers);
                 return Err(CommandFailure::new(FailureKind::Unreachable, text));
             }
-            std::thread::sleep(LOOK);
+            std::thread::sleep(POLL_INTERVAL);
         }
     }
 
-    /// Stops all instances as planned, one after the other.
+    /// Performs a planned stop of the instances, one at a time.
     pub fn stop(self) {
         for entry in self.entries {
             entry.stop();
@@ -196,7 +196,7 @@
             match client.accept_bundle(&bundle) {
                 Ok(()) => return Ok(()),
                 Err(failure) if begun.elapsed() > Duration::from_secs(10) => return Err(failure),
-                Err(_) => std::thread::sleep(LOOK),
+                Err(_) => std::thread::sleep(POLL_INTERVAL),
             }
         }
     }
--- a/crates/bankvalve/src/dev/dev_report.rs
+++ b/crates/bankvalve/src/dev/dev_report.rs
@@ -1,4 +1,4 @@
-//! Runs jobs on the small cell and prints what came of them.
+//! Runs jobs on the small cell and prints a report.
 
 use std::collections::BTreeMap;
 use std::process::ExitCode;
@@ -15,21 +15,23 @@
 use crate::command::{print_line, print_rows, wait_for, CommandFailure};
 use crate::serve::CoreHandle;
 
-/// Time between two samples of the room in use.
-const SAMPLE: Duration = Duration::from_millis(100);
-/// Requests sent to each service.
-const REQUESTS: usize = 100;
+/// Interval between two samples of the capacity in use.
+const SAMPLE_INTERVAL: Duration = Duration::from_millis(100);
+/// Number of requests sent to each service.
+const REQUESTS_PER_SERVICE: usize = 100;
 
-/// Room in use over time: sums of shares, and the number of samples.
+/// Samples of the capacity in use: sums of the shares from 0 to 1, the peak CPU share, and the sample count.
 #[derive(Clone, Copy, Debug, Default)]
-struct PackingSample {
+struct PackingTotals {
     millicores: f64,
     memory: f64,
     peak: f64,
     count: f64,
 }
 
-/// Submits jobs, waits for them, and prints places, waits, packing and refusals.
+/// Submits jobs, waits for them, and prints their workers, waiting times, capacity use and refusals.
+///
+/// The exit code is a failure if a job other than a service is not done, or if an invariant was violated.
 pub(super) fn run_jobs(cell: &DevCell, jobs: &[JobSpec]) -> Result<ExitCode, CommandFailure> {
     let client = cell.client()?;
     let stop = Arc::new(AtomicBool::new(false));
@@ -48,7 +50,7 @@
         let Some(service) = job.service() else {
             continue;
         };
-        for number in 0..REQUESTS {
+        for number in 0..REQUESTS_PER_SERVICE {
             let sent = Instant::now();
             client.request(&job.team, service, &format!("request {number}"), false)?;
             latencies.saturating_record(sent.elapsed().as_micros() as u64);
@@ -95,7 +97,7 @@
     Histogram::new_with_bounds(1, 600_000_000, 3).expect("the bounds are in order")
 }
 
-fn sample_packing(cell: &DevCell, stop: &Arc<AtomicBool>) -> thread::JoinHandle<PackingSample> {
+fn sample_packing(cell: &DevCell, stop: &Arc<AtomicBool>) -> thread::JoinHandle<PackingTotals> {
     let cores: Vec<CoreHandle> = cell
         .entries()
         .iter()
@@ -103,7 +105,7 @@
         .collect();
     let stop = stop.clone();
     thread::spawn(move || {
-        let mut sum = PackingSample::default();
+        let mut sum = PackingTotals::default();
         while !stop.load(Ordering::Acquire) {
             let mut used = bankvalve_cell::machine::TaskSize::default();
             let mut all = used;
@@ -118,7 +120,7 @@
             sum.memory += share(used.memory_mib, all.memory_mib);
             sum.peak = sum.peak.max(millicores);
             sum.count += 1.0;
-            thread::sleep(SAMPLE);
+            thread::sleep(SAMPLE_INTERVAL);
         }
         sum
     })
--- a/crates/bankvalve/src/dev/dev_site.rs
+++ b/crates/bankvalve/src/dev/dev_site.rs
@@ -1,4 +1,4 @@
-//! A small site in one process: entry instances and the users' platform over HTTP.
+//! A small site in one process: entry instances and a stand-in for the users' platform, over HTTP.
 
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddr, TcpListener};
@@ -15,23 +15,23 @@
 use crate::entry::{DecisionLog, EntryProcess};
 use crate::settings::{
     LogSettings, SiteBounds, SiteInstance, SiteKeys, SiteLimits, SiteListen,
-    SitePlatform as PlatformPlaces, SiteProcessor, SiteSettings,
+    SitePlatform as PlatformAddresses, SiteProcessor, SiteSettings,
 };
 
-/// Service of the site's workers.
+/// Service that the site's workers run.
 const SERVICE: &str = "billing";
-/// The site's only queue.
+/// Name of the site's only queue.
 const QUEUE: &str = "lookups";
-/// Host that requests to it name.
+/// Host name of requests to the queue.
 const HOST: &str = "site.example";
-/// Beginning of their path.
+/// Path prefix of requests to the queue.
 const PREFIX: &str = "/lookups/";
-/// Room of each worker in thousandths of a core.
+/// CPU capacity of each worker, in thousandths of a core.
 const WORKER_MILLICORES: u64 = 4_000;
-/// Time in which the site must be ready.
-const READY_TIME: Duration = Duration::from_secs(30);
-/// Time between two looks.
-const LOOK: Duration = Duration::from_millis(50);
+/// How long to wait for all entry instances to become ready.
+const READY_TIMEOUT: Duration = Duration::from_secs(30);
+/// Interval between two checks while waiting.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Runs a small site until SIGTERM or SIGINT.
 pub(super) fn run(options: &DevOptions) -> Result<ExitCode, CommandFailure> {
@@ -48,12 +48,12 @@
     }
     platform.configure(QueueTable::new(1, vec![rule()], BTreeMap::new()));
     let (log, _) = DecisionLog::start().map_err(|error| failed(&error))?;
-    let told_to_stop = AtomicBool::new(false);
+    let stop_requested = AtomicBool::new(false);
     let mut entries = Vec::new();
     for number in 0..options.entries {
         let settings = settings_of(number, any, platform.address());
         let port = bankvalve_platform::port();
-        let entry = EntryProcess::start(&settings, port, &log, &told_to_stop);
+        let entry = EntryProcess::start(&settings, port, &log, &stop_requested);
         entries.push(entry.map_err(|report| failed(&format!("{report:?}")))?);
     }
     wait_until_ready(&entries)?;
@@ -66,7 +66,7 @@
     );
     eprintln!("dev: Ctrl-C ends");
     while signals.pending().next().is_none() {
-        std::thread::sleep(LOOK);
+        std::thread::sleep(POLL_INTERVAL);
     }
     entries.iter().for_each(EntryProcess::stop);
     Ok(ExitCode::SUCCESS)
@@ -105,7 +105,7 @@
             peers: any,
             metrics: any,
         },
-        platform: PlatformPlaces {
+        platform: PlatformAddresses {
             table: platform,
             policy: None,
             machines: None,
@@ -126,10 +126,10 @@
 fn wait_until_ready(entries: &[EntryProcess]) -> Result<(), CommandFailure> {
     let begun = Instant::now();
     while !entries.iter().all(EntryProcess::is_ready) {
-        if begun.elapsed() > READY_TIME {
+        if begun.elapsed() > READY_TIMEOUT {
             return Err(failed(&"expected all entry instances to be ready in 30 s"));
         }
-        std::thread::sleep(LOOK);
+        std::thread::sleep(POLL_INTERVAL);
     }
     Ok(())
 }
--- a/crates/bankvalve/src/dev/mod.rs
+++ b/crates/bankvalve/src/dev/mod.rs
@@ -1,4 +1,4 @@
-//! A small cell or site in one process: entry instances, stand-ins for the platform, sample runs.
+//! The `dev` command: a small cell or site in one process, with stand-ins for the platform.
 
 mod dev_cell;
 mod dev_report;
@@ -14,12 +14,12 @@
 
 use crate::command::{CommandFailure, FailureKind, JobFile};
 
-/// Time in which the cell must be ready.
-const READY_TIME: Duration = Duration::from_secs(30);
-/// Time between two looks.
-const LOOK: Duration = Duration::from_millis(50);
+/// How long to wait for the cell to become ready.
+const READY_TIMEOUT: Duration = Duration::from_secs(30);
+/// Interval between two checks for a signal.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Runs the `dev` command.
+/// Runs the `dev` command until SIGTERM or SIGINT, or until the submitted jobs have finished.
 pub(crate) fn run(options: &crate::command::DevOptions) -> Result<ExitCode, CommandFailure> {
     let level = options.log.parse().map_err(|_| {
         let text = "--log: expected error, warn, info, debug or trace";
@@ -43,7 +43,7 @@
     let begun = Instant::now();
     let cell = DevCell::start(&plan)?;
     cell.write_client_file()?;
-    cell.wait_until_ready(READY_TIME)?;
+    cell.wait_until_ready(READY_TIMEOUT)?;
     eprintln!(
         "dev: {} entry instances and {} workers are ready after {} ms",
         options.entries,
@@ -57,7 +57,7 @@
     eprintln!("dev: platform stand-in: {}", cell.platform_url());
     eprintln!("dev: try `bankvalve worker list` in another shell; Ctrl-C ends");
     while signals.pending().next().is_none() {
-        std::thread::sleep(LOOK);
+        std::thread::sleep(POLL_INTERVAL);
     }
     cell.stop();
     Ok(ExitCode::SUCCESS)
