--- a/crates/bankvalve_queue/tests/book.rs
+++ b/crates/bankvalve_queue/tests/book.rs
@@ -1,4 +1,6 @@
-//! The state of jobs that a `JobBook` builds from the ledger's events.
+//! Tests of the state of jobs that a `JobBook` builds from the ledger's events.
+//!
+//! The fields `time` and `next_time` are numbers of a job's repetitions, not times.
 
 use std::sync::Arc;
 
@@ -154,7 +156,7 @@
 }
 
 #[test]
-fn an_uncommitted_job_is_withdrawn_and_can_be_submitted_again() {
+fn withdrawing_an_uncommitted_job_removes_it() {
     let mut book = book_with_step(StepSpec {
         count: 1,
         ..StepSpec::default()
@@ -257,8 +259,9 @@
 }
 
 #[test]
-fn evidence_that_an_earlier_version_stored_as_one_word_is_never_proof() {
-    /// An end as an earlier version stored it, with a single word as evidence.
+fn crash_evidence_in_the_format_of_an_earlier_version_is_not_read_as_proof() {
+    /// An end as an earlier version stored it. Its evidence was a single word, such as "Alone". Words other
+    /// than "Weak" are read as `Young`, an early crash.
     #[derive(serde::Serialize)]
     enum EarlierEnd {
         Crashed(&'static str),
@@ -302,7 +305,7 @@
     events: Vec<FormerEvent>,
 }
 
-// Guards against losing jobs when a site introduces customers.
+// Guards against losing jobs when bankvalve is upgraded from a version whose jobs had no customers.
 #[test]
 fn a_ledger_written_before_there_were_customers_is_still_readable() {
     let spec = FormerSpec {
--- a/crates/bankvalve_queue/tests/config.rs
+++ b/crates/bankvalve_queue/tests/config.rs
@@ -1,5 +1,7 @@
-//! How a single instance reads the operator's configuration: which requests it sends to the table, and
-//! when.
+//! Tests of how a single instance reads the operator's configuration: which requests it sends, and when.
+//!
+//! "The table" in comments is the platform's table service, which stores the configuration. In names of
+//! the code, such as [`QueueTable`] and `table_version`, a table is the configuration itself.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -12,6 +14,7 @@
 
 /// A single instance, and the time on its clock in milliseconds.
 struct TestInstance {
+    /// The state machine of an instance, which does no I/O: it takes events and returns actions.
     core: EntryCore,
     at_ms: u64,
 }
@@ -72,8 +75,8 @@
         });
     }
 
-    /// Sends a caller's status request with a key, and returns whether it is refused because the key may
-    /// have been dropped.
+    /// Sends a caller's status request with a key, and returns whether it is refused with `KeysUnsure`: the
+    /// last confirmation that the instance's configuration, and so its keys, is the newest is too old.
     fn refuses_key(&mut self) -> bool {
         let ticket = self.core.new_ticket();
         let request = ResolvedRequest {
@@ -148,7 +151,8 @@
         .collect()
 }
 
-/// Returns the configuration requests that the table answers at once, so not the watches.
+/// Returns the configuration requests that the table answers at once: complete reads, and queries for
+/// changes. A query is a watch request with the minimum wait of 1 ms; watches that wait longer are left out.
 fn config_queries(actions: &[CoreAction]) -> Vec<(Ticket, StoreRequest)> {
     let mut requested = config_requests(actions);
     requested.retain(|(_, request)| match request {
@@ -230,7 +234,8 @@
         .find(|(_, request)| *request == StoreRequest::ReadOperator)
         .expect("the complete configuration is read");
     let mut after_answer = instance.answer(complete_read, operator_outcome(Some(1), 30));
-    // If the watch sent this read, a later query answers the caller.
+    // The complete read may belong to the watch or to a query. Only the answer to a query ends the caller's
+    // request, so after a read of the watch a query follows.
     if answers(&after_answer).is_empty() {
         let actions = instance.run_until(1_100);
         let (query, _) = config_queries(&actions)[0];
@@ -297,6 +302,7 @@
     let mut instance = TestInstance::new();
     let watches = config_requests(&instance.run_until(1_000));
     let (watch, _) = watches[0];
+    // The answer to the watch has begun to arrive.
     instance.step(CoreEvent::StoreBegins { ticket: watch });
     instance.announce_version(2);
     let actions = instance.run_until(2_500);
--- a/crates/bankvalve_queue/tests/entry.rs
+++ b/crates/bankvalve_queue/tests/entry.rs
@@ -1,4 +1,7 @@
-//! A single instance: which requests it sends and logs, and which answers it accepts.
+//! Tests of a single instance: which requests it sends and logs, and which answers it accepts.
+//!
+//! An [`EntryCore`] is the state machine of an instance, which does no I/O: it takes events and returns
+//! actions.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,13 +15,14 @@
     PeerAddress::from(([10, 0, 0, last], 7_300))
 }
 
+/// Creates the incarnation of an instance whose process started at `life`, in milliseconds since 1970.
 fn core_with_life(life: u64) -> EntryCore {
     let mut settings = EntrySettings::example(address(1));
     settings.life = life;
     EntryCore::new(settings)
 }
 
-/// An instance that follows a leader at another address.
+/// Returns an instance, started at `life`, that follows a leader at another address.
 fn follower(life: u64) -> EntryCore {
     let mut core = core_with_life(life);
     let body = HeartbeatBody {
@@ -121,11 +125,12 @@
         }
     }
     assert_eq!(lines.len(), 4, "{lines:?}");
+    // "Members not read": the instance has not read the stored list of instances from the table yet.
     assert!(lines[0].contains("members not read, table never answered"));
     assert!(core.view().leaderless_ms >= 4_900);
 }
 
-/// Returns the ids and details of the lines logged for an event of a part.
+/// Returns the ids and details of the log lines with an event that a part of the instance logged.
 fn lines(actions: &[CoreAction], part: &str, event: &str) -> Vec<(String, String)> {
     let id_and_detail = |action: &CoreAction| match action {
         CoreAction::Log(line) if line.part == part && line.event == event => {
