--- a/crates/bankvalve_cell/src/instance/ownership.rs
+++ b/crates/bankvalve_cell/src/instance/ownership.rs
@@ -36,11 +36,11 @@
             self.lease.scanning = false;
             return;
         };
-        for image in rows {
-            let key = PartitionKey::from_row_key(&image.key);
-            let row = PartitionRow::decode(&image.value);
+        for stored_row in rows {
+            let key = PartitionKey::from_row_key(&stored_row.key);
+            let row = PartitionRow::decode(&stored_row.value);
             if let Some((key, row)) = key.zip(row) {
-                self.record_partition(key, row, image.version);
+                self.record_partition(key, row, stored_row.version);
             }
         }
         self.lease.last_answered_scan = self.lease.last_scan;
@@ -55,22 +55,26 @@
         };
         let rows = rows
             .iter()
-            .filter_map(|image| Some((image.version, InstanceRow::decode(&image.value)?)))
+            .filter_map(|stored_row| {
+                Some((stored_row.version, InstanceRow::decode(&stored_row.value)?))
+            })
             .collect();
-        let gap = self.settings.timings.scan * 2;
-        self.roster.handle_scan(self.now, rows, gap);
+        let gap_limit = self.settings.timings.scan * 2;
+        self.roster.handle_scan(self.now, rows, gap_limit);
         self.reconcile_ownership();
     }
 
-    /// Drops all worker partitions if no scan of their rows was answered within the timing `unattended`.
+    /// Drops all worker partitions if no scan of their rows was answered within `CellTimings::unattended`.
     ///
-    /// A later owner relies on this: once that time and a worker's lease have passed,
-    /// no task that this instance granted a lease for can still be running.
+    /// A later owner relies on this: once that time has passed, and then the length of a
+    /// worker's lease, no task on a worker whose lease this instance renewed can still be
+    /// running.
     pub(super) fn drop_workers_without_store(&mut self) {
         let limit = self.settings.timings.unattended;
         if self.workers.is_empty() || self.now <= self.lease.last_answered_scan + limit {
             return;
         }
+        // Only counts the case: no caller is refused here.
         self.tally
             .refuse(crate::refusal::RefusalReason::StoreUnavailable);
         self.workers.clear();
@@ -180,6 +184,7 @@
     }
 
     pub(super) fn drop_team(&mut self, index: u32) {
+        // Refuses the commands whose events were not sent to the table service.
         self.with_team_partition(index, |owner, _, ctx| owner.abandon(ctx));
         self.teams.remove(&index);
     }
@@ -280,13 +285,15 @@
             let owner = WorkerPartition::new(index, row.epoch, region, policy, self.now);
             self.workers.insert(index, owner);
         }
+        // The read of the partition's rows is due at once.
         self.loads.insert(key, self.now);
         if self.stopping {
             self.releasing.insert(key);
         }
     }
 
-    /// Returns the state of an instance by the scans of this one, or `None` if it has no row.
+    /// Returns the state of an instance according to this instance's scans, or `None` if the last scan found
+    /// no row of it.
     pub(super) fn member_state(&self, name: &str) -> Option<MemberState> {
         let lease = self.settings.timings.instance_lease;
         self.roster.state_of(name, lease)
--- a/crates/bankvalve_cell/src/ledger/job_state.rs
+++ b/crates/bankvalve_cell/src/ledger/job_state.rs
@@ -22,14 +22,14 @@
     Assigned {
         /// The worker partition.
         partition: PartitionIndex,
-        /// The partition's epoch in the attempt's `Intended` event.
+        /// The partition's epoch in the ledger event `Intended`, which assigned the attempt.
         epoch: Epoch,
     },
     /// The latest attempt was reported as running.
     Running {
         /// The worker partition.
         partition: PartitionIndex,
-        /// The partition's epoch in the attempt's `Intended` event.
+        /// The partition's epoch in the ledger event `Intended`, which assigned the attempt.
         epoch: Epoch,
     },
     /// The task has finished.
@@ -194,7 +194,8 @@
         !self.spec.is_gang() || !self.tasks.iter().any(TaskState::is_active)
     }
 
-    /// Applies the end of an attempt, as a worker reported it.
+    /// Applies the end of an attempt, as a worker reported it. The task runs again only if the job is
+    /// repeatable.
     pub fn apply_end(&mut self, task: u32, outcome: TaskOutcome, ran_ms: u64, peak: TaskSize) {
         self.update_estimates(outcome, ran_ms, peak);
         let service = self.spec.service().is_some();
@@ -222,7 +223,7 @@
         };
     }
 
-    /// Applies the release of an attempt whose end no worker reported.
+    /// Applies the release of an attempt: no worker reported its end, but it is known not to be running.
     pub fn apply_release(&mut self, task: u32, reason: ReleaseReason) {
         let cancelled = self.cancelled;
         let repeatable = self.spec.repeatable;
--- a/crates/bankvalve_cell/src/owner/worker/placement.rs
+++ b/crates/bankvalve_cell/src/owner/worker/placement.rs
@@ -19,7 +19,8 @@
 use crate::refusal::{RefusalReason, RetryReason};
 use crate::tally::InvariantKind;
 
-/// Time that an attempt must have been known before a worker is reserved for it, one worker at a time.
+/// Time that an attempt must have been known to this owner before a worker is reserved for it. At most one
+/// worker is reserved at a time.
 const RESERVE_WORKER_AFTER: Duration = Duration::from_secs(3);
 /// Time after which tasks are preempted again for an attempt that is still queued.
 const PREEMPT_RETRY_AFTER: Duration = Duration::from_secs(2);
@@ -114,6 +115,7 @@
         let spread = self.spread_of(id);
         let mut best: Option<(f64, &WorkerState)> = None;
         for worker_state in self.worker_states.values() {
+            // Checks can disable a guard, to show that its absence is detected.
             let fits = !ctx.guards.enforces(GuardName::OwnerCapacity)
                 || entry.label.size.fits_in(worker_state.free());
             let is_reserved = Some(worker_state.detail.name.as_str()) == reserved_worker;
@@ -174,6 +176,7 @@
             total: detail.size,
             free: worker_state.free(),
             need: entry.label.size,
+            // A domain other than the preferred one counts as if one more task of the job ran there.
             same_domain: here + u32::from(service && !preferred),
             same_rack: spread.racks.get(&detail.rack).copied().unwrap_or(0),
             service,
@@ -224,14 +227,15 @@
         {
             return;
         }
-        let need = entry.label.size;
+        let needed_size = entry.label.size;
         let mut best: Option<(f64, WorkerName, Vec<TaskId>)> = None;
         for worker_state in self.worker_states.values() {
             if !worker_state.accepts_tasks() || !rules_admit(entry, worker_state) {
                 continue;
             }
             let victims = self.victims_on(&worker_state.detail.name);
-            let Some((chosen, cost)) = choose_victims(need, worker_state.free(), victims) else {
+            let Some((chosen, cost)) = choose_victims(needed_size, worker_state.free(), victims)
+            else {
                 continue;
             };
             if best.as_ref().is_none_or(|(other, _, _)| cost < *other) {
@@ -268,15 +272,16 @@
     /// Returns the worker that lacks the least capacity, relative to its size, for a queued attempt.
     fn worker_to_reserve(&self, id: &TaskId) -> Option<WorkerName> {
         let entry = &self.entries[id];
-        let need = entry.label.size;
+        let needed_size = entry.label.size;
         let missing_share = |worker_state: &WorkerState| {
-            need.minus(worker_state.free())
+            needed_size
+                .minus(worker_state.free())
                 .share_of(worker_state.detail.size)
         };
         self.worker_states
             .values()
             .filter(|worker_state| worker_state.accepts_tasks() && rules_admit(entry, worker_state))
-            .filter(|worker_state| need.fits_in(worker_state.detail.size))
+            .filter(|worker_state| needed_size.fits_in(worker_state.detail.size))
             .min_by(|a, b| missing_share(a).total_cmp(&missing_share(b)))
             .map(|worker_state| worker_state.detail.name.clone())
     }
--- a/crates/bankvalve_cell/src/owner/worker/placement_entry.rs
+++ b/crates/bankvalve_cell/src/owner/worker/placement_entry.rs
@@ -39,7 +39,9 @@
 #[derive(Clone, Debug)]
 pub(super) struct PlacementEntry {
     pub(super) key: TaskKey,
+    /// Properties of the task, such as its size and its service.
     pub(super) label: TaskLabel,
+    /// Requirements of the placement order; `None` if this owner has no order for the attempt.
     pub(super) need: Option<PlacementNeed>,
     pub(super) phase: PlacementPhase,
     pub(super) worker: Option<WorkerName>,
--- a/crates/bankvalve_cell/src/owner/worker/worker_partition.rs
+++ b/crates/bankvalve_cell/src/owner/worker/worker_partition.rs
@@ -212,7 +212,8 @@
             .count()
     }
 
-    /// Makes the next exchange with a worker due at once.
+    /// Makes the next exchange with a worker due at once. An exchange fences the worker, renews its lease and
+    /// sends its commands.
     pub(super) fn make_exchange_due(&mut self, worker: Option<&str>, now: CellTime) {
         if let Some(worker_state) = worker.and_then(|name| self.worker_states.get_mut(name)) {
             worker_state.next_exchange = now;
--- a/crates/bankvalve_cell/src/tally.rs
+++ b/crates/bankvalve_cell/src/tally.rs
@@ -92,17 +92,17 @@
 }
 
 impl CellTally {
-    /// Counts a refusal.
+    /// Counts a refusal. Does not refuse anything itself.
     pub fn refuse(&mut self, reason: RefusalReason) {
         *self.refusals.entry(reason).or_default() += 1;
     }
 
-    /// Counts a retry.
+    /// Counts a retry. Does not retry anything itself.
     pub fn retry(&mut self, reason: RetryReason) {
         *self.retries.entry(reason).or_default() += 1;
     }
 
-    /// Counts a check of an invariant, and records a breach if `holds` is false.
+    /// Counts a check of an invariant, and records a breach if `holds` is false. Never panics.
     pub fn assert(&mut self, kind: InvariantKind, holds: bool, text: impl FnOnce() -> String) {
         *self.checks.entry(kind).or_default() += 1;
         if holds {
