--- a/crates/bankvalve_cell/src/instance/instance_core.rs
+++ b/crates/bankvalve_cell/src/instance/instance_core.rs
@@ -29,6 +29,7 @@
     pub(super) now: CellTime,
     pub(super) wall: UnixMillis,
     pub(super) incarnation: Incarnation,
+    /// State of this instance's lease and of its scans.
     pub(super) lease: LeaseState,
     pub(super) roster: MemberRoster,
     pub(super) partition_rows: BTreeMap<PartitionKey, (PartitionRow, RowVersion)>,
--- a/crates/bankvalve_cell/src/instance/ownership.rs
+++ b/crates/bankvalve_cell/src/instance/ownership.rs
@@ -71,6 +71,7 @@
     /// running.
     pub(super) fn drop_workers_without_store(&mut self) {
         let limit = self.settings.timings.unattended;
+        // `workers` holds the worker partitions that this instance owns.
         if self.workers.is_empty() || self.now <= self.lease.last_answered_scan + limit {
             return;
         }
