--- a/crates/bankvalve_queue/src/core/entry_core.rs
+++ b/crates/bankvalve_queue/src/core/entry_core.rs
@@ -1,4 +1,7 @@
 //! The state of an entry instance, and the dispatch of events to it.
+//!
+//! An entry instance is a process of bankvalve: it accepts callers' requests, and one of the instances leads.
+//! A worker's entry is something else: the worker's record in the table.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
--- a/crates/bankvalve_queue/src/core/lost_contact.rs
+++ b/crates/bankvalve_queue/src/core/lost_contact.rs
@@ -22,10 +22,11 @@
 use crate::ids::{CoreTime, RunId, StepKey, TaskKey, WorkerId};
 use crate::ledger::{JobOutcome, JobRecord, TaskPhase};
 
-/// Interval between two scans of waiting tasks: a tenth of the shortest wait that is logged.
+/// Interval between two scans of waiting tasks: less than a tenth of the shortest wait that is logged, which
+/// is [`UNRESPONSIVE_AFTER`].
 const SCAN_INTERVAL: Duration = Duration::from_millis(100);
-/// Added to the interval for each waiting task: about forty times the cost of scanning one, so that
-/// thousands of them take at most a hundredth of a core.
+/// Added to [`SCAN_INTERVAL`] for each waiting task: about forty times the cost of scanning one. Together,
+/// the two intervals limit the scans of about three thousand tasks to a hundredth of a core.
 const SCAN_INTERVAL_PER_TASK: Duration = Duration::from_micros(20);
 /// Time within which a worker usually answers a new leader. The first poll times out after about 0.6 s,
 /// and the next one follows 0.25 s later.
@@ -346,6 +347,8 @@
     }
 
     /// Returns why a run on a worker that is out of contact is assumed to be running, and until when.
+    ///
+    /// "Hold" in the names of reasons and settings means the worker's lease.
     fn assumed_run(
         &self,
         id: &WorkerId,
@@ -355,11 +358,11 @@
     ) -> AssumedRun {
         let now = self.now;
         let (lease_reason, expires_at) = if state.token_accepted {
-            let latest_former = state.token_accepted_at + self.former_leaders.longest_lease();
-            let former = self.former_leases_expire_at(id).min(latest_former);
+            let former_limit = state.token_accepted_at + self.former_leaders.longest_lease();
+            let former_expires_at = self.former_leases_expire_at(id).min(former_limit);
             (
                 WaitReason::OwnHold,
-                state.lease_expires_at().map(|at| at.max(former)),
+                state.lease_expires_at().map(|at| at.max(former_expires_at)),
             )
         } else {
             let reason = if self.is_bounded_by_ledger(id) || self.former_leaders.are_known() {
@@ -401,8 +404,8 @@
         let end = match until.map(|until| rounded(until.saturating_sub(now))) {
             Some(left) if unconfirmed => {
                 format!(
-                    "once this leader's leadership is confirmed again, by itself in at most {left:?} \
-                     from now"
+                    "by itself in at most {left:?} from now, but not before this leader's leadership is \
+                     confirmed again"
                 )
             }
             Some(left) => format!("by itself in at most {left:?}"),
@@ -439,8 +442,8 @@
             WaitReason::FormerHoldAssumed => {
                 let longest = self.settings.hold_limit;
                 format!(
-                    "a former leader was not in mutual contact with this instance: it is assumed to \
-                     continue for {UNCONFIRMED_LIMIT:?}, and to request leases of {longest:?}"
+                    "a former leader and this instance did not receive each other's heartbeats: it is \
+                     assumed to continue for {UNCONFIRMED_LIMIT:?}, and to request leases of {longest:?}"
                 )
             }
             WaitReason::EntryListed => "its lease has expired, its entry still exists".to_owned(),
@@ -470,6 +473,7 @@
         };
         let waited = rounded(now.saturating_sub(lost_contact.since));
         let reason = lost_contact.reason.as_str();
+        // The event `heard` covers both cases: the worker answers, or the run is no longer waited for.
         self.log_often("runs", "heard", || {
             let detail = format!(
                 "run {run} on {worker}: {end}, out of contact for {waited:?}, last reason {reason}"
--- a/crates/bankvalve_queue/src/core/placement.rs
+++ b/crates/bankvalve_queue/src/core/placement.rs
@@ -27,14 +27,17 @@
 /// Minimum time between two placement passes.
 const MIN_PLACEMENT_INTERVAL: Duration = Duration::from_millis(4);
 /// Added to [`MIN_PLACEMENT_INTERVAL`] for each step that the last pass considered, so that a long queue does
-/// not use the whole CPU. About three times the cost of considering a step with a quarter of a core.
+/// not use the whole CPU. About three times as long as an instance with a quarter of a core takes to consider
+/// a step.
 const PLACEMENT_INTERVAL_PER_STEP: Duration = Duration::from_micros(300);
 /// Time after which a placement pass runs although nothing is known to have changed.
 const IDLE_PLACEMENT_INTERVAL: Duration = Duration::from_millis(250);
 /// Time for which capacity stays reserved for a step after the answer to its advice request is expected.
 const RESERVATION_SLACK: Duration = Duration::from_millis(60);
 /// Percentage of the live peers that must be idle advisers for a step to request advice about further workers
-/// if its job can only finish late. Long advice requests leave a third of the instances free for short ones.
+/// if its job can only finish late. An adviser is an instance that sends advice requests to the policy
+/// service for the leader; it is idle if none is pending there. Long advice requests never use a third of the
+/// instances, which stays free for short ones, so a limit below a third would have little effect.
 const LATE_MIN_IDLE_PERCENT: usize = 40;
 /// Percentage of the live peers that must be idle advisers if the job can only finish too late to earn
 /// anything.
@@ -68,7 +71,8 @@
     isolated: Vec<TaskKey>,
     /// Suspects among the tasks that start only where no other new run is.
     apart_from_new: Vec<TaskKey>,
-    /// Workers that ended under the isolated suspects. Another end of the same worker would add no evidence.
+    /// Workers that ended while they ran one of the isolated suspects. Another end of the same worker would
+    /// add no evidence.
     pub(super) crashed_workers: Vec<WorkerId>,
     /// Whether one of the tasks is long-running and past its restart deadline, so that workers in back-off
     /// are eligible too.
@@ -268,7 +272,7 @@
             crashed_workers,
             past_deadline,
         };
-        // If no other worker is eligible, the workers that have already ended under the task are eligible
+        // If no other worker is eligible, the workers that already ended while they ran the task are eligible
         // again.
         let mut workers = lead.iter().flat_map(|lead| lead.worker_states.iter());
         if !step.crashed_workers.is_empty()
@@ -309,11 +313,11 @@
         if suspects.is_empty() || !(gang || others.is_empty()) {
             return (!others.is_empty()).then(|| (keys(&others), Vec::new(), Vec::new()));
         }
-        let starts_urgently = |task: &TaskRecord| gang_past_deadline || past_deadline(task);
+        let deadline_passed = |task: &TaskRecord| gang_past_deadline || past_deadline(task);
         let history = SuspectHistory::of(
             suspects
                 .iter()
-                .map(|(_, task)| (*task, starts_urgently(task))),
+                .map(|(_, task)| (*task, deadline_passed(task))),
         );
         let trial_tasks = keys(if gang { &suspects } else { &suspects[..1] });
         let tasks = if gang {
@@ -359,7 +363,7 @@
         let can_request =
             advice.can_send_request(now) && self.has_available_adviser(rule, step.tasks.len());
         if advice.has_no_answer() {
-            if can_request && self.may_ask_about_unknown(step.key) {
+            if can_request && self.may_request_advice_on_unasked(step.key) {
                 let workers = first_advice_request(step, &eligible_workers(lead, step, now), now);
                 if !workers.is_empty() {
                     self.request_advice(step.key, rule, &workers);
@@ -404,7 +408,7 @@
         }
         if needs_capacity
             && !self.has_capacity_claim(step.key)
-            && self.may_ask_about_unknown(step.key)
+            && self.may_request_advice_on_unasked(step.key)
         {
             request = unasked;
         }
@@ -415,12 +419,12 @@
         }
     }
 
-    /// Returns whether a step may request advice about unknown workers. A step that can no longer finish in
-    /// time may do so only while enough peers are idle advisers.
+    /// Returns whether a step may request advice about workers for which the policy service has not answered
+    /// yet. A step that can no longer finish in time may do so only while enough peers are idle advisers.
     ///
-    /// In a backlog, a hundred gangs have advice requests pending, on as many instances. Without this check,
-    /// gangs that can still finish in time wait behind them.
-    fn may_ask_about_unknown(&self, key: StepKey) -> bool {
+    /// If a hundred late gangs wait in a backlog, their advice requests occupy a hundred instances. Without
+    /// this check, the requests of gangs that can still finish in time wait behind them.
+    fn may_request_advice_on_unasked(&self, key: StepKey) -> bool {
         let lead = self.lead.as_deref();
         let step = lead.and_then(|lead| lead.waiting.get(&key));
         let min_idle_percent = match step.map(|step| step.lateness(self.wall)) {
--- a/crates/bankvalve_queue/src/core/suspects.rs
+++ b/crates/bankvalve_queue/src/core/suspects.rs
@@ -1,4 +1,5 @@
-//! Suspects: tasks under which workers ended. Evidence against them, and their isolated trial runs.
+//! Suspects: tasks that may have caused the end of workers that ran them. Evidence against them, and their
+//! isolated trial runs.
 //!
 //! [`CrashCount`](crate::CrashCount), a part of the ledger's state, decides which tasks are suspects and
 //! when a job fails because of them. This module collects what the leader has seen of a worker's end.
@@ -17,8 +18,8 @@
 //! long for its start or for a free worker starts beside other runs. If it must be isolated, which is the
 //! case after two ends of which one was an early crash, it starts only beside runs that are not new: there,
 //! an end is as strong evidence as on an empty worker. A long-running task waits only until
-//! [`is_past_restart_deadline`](EntryCore::is_past_restart_deadline) returns true, which counts all of its
-//! waits.
+//! [`is_past_restart_deadline`](EntryCore::is_past_restart_deadline) returns true. That deadline covers the
+//! whole time since the task's last run ended, whatever the task waited for.
 
 use std::time::Duration;
 
@@ -53,8 +54,8 @@
 /// declared lost.
 const OCCUPIED_DIVISOR: usize = 4;
 /// Longest wait for a free worker and an allowed start before a suspect starts beside other runs, if it
-/// was present at several ends without an early crash. After three seconds, callers are informed that nothing
-/// runs although there is capacity.
+/// was present at several ends without an early crash. This is shorter than the three seconds after which
+/// callers are informed that nothing runs although there is capacity.
 const WEAK_MAX_WAIT: Duration = Duration::from_millis(2_000);
 /// Longest wait of a suspect with an early crash before it starts apart from new runs. After twice this time
 /// it may start beside any runs, and after three times also if it must be isolated and no end is proof.
@@ -62,10 +63,11 @@
 /// Time before and after a worker's end within which other losses count as simultaneous, as when a rack or
 /// a failure domain fails or the network is cut. The leader notices within it that a port refuses.
 const SIMULTANEOUS_WINDOW: Duration = Duration::from_millis(200);
-/// Time without many losses that must precede a trial run whose end may be proof.
+/// Time without many losses that must precede a trial run of a suspect with an early crash: the end of that
+/// run may be proof.
 const QUIET_TIME: Duration = Duration::from_secs(1);
-/// No such trial run starts if one worker in this many, and at least one worker, was lost within
-/// [`QUIET_TIME`].
+/// No trial run of a suspect with an early crash starts if one worker in this many, and at least one worker,
+/// was lost within [`QUIET_TIME`].
 const QUIET_LOSS_DIVISOR: usize = 100;
 /// A mass loss is assumed if one worker in this many was lost at the same time as another. An end right after
 /// a start is only weak evidence then.
@@ -238,8 +240,8 @@
         task: &TaskKey,
         live: &LiveRun,
     ) -> Option<CrashEvidence> {
-        let order = loss.ended_by.zip(live.ordered_at);
-        let had_ended = order.is_some_and(|(ended, ordered)| ended <= ordered);
+        let end_and_order = loss.ended_by.zip(live.ordered_at);
+        let had_ended = end_and_order.is_some_and(|(ended, ordered)| ended <= ordered);
         let counts = live.may_have_started()
             && !had_ended
             && !state.left_as_announced()
@@ -271,14 +273,15 @@
         let beside = beside.count();
         let job = self.book.job(task.step.job);
         let count = job.and_then(|job| job.task(*task)?.crash_count());
-        let repeat =
+        let common_span =
             over_ms.and_then(|ended| count.and_then(|count| count.common_age_ms(alive_ms, ended)));
         let chance_ppm = over_ms.map_or(MILLION as u32, |over_ms| {
-            let span = repeat.map_or(over_ms, |span| span.min(over_ms));
+            let span = common_span.map_or(over_ms, |span| span.min(over_ms));
             let chance = loss.rate * Duration::from_millis(u64::from(span)).as_secs_f64();
             (chance.min(1.0) * MILLION).ceil() as u32
         });
         let only_cause = beside == 0 && !loss.is_mass_loss;
+        // Without this guard, every end counts as if nothing else could have caused it.
         let enforced = self.enforces(SiteGuard::AloneEvidence);
         let (only_cause, chance_ppm) = if enforced {
             (only_cause, chance_ppm)
@@ -288,12 +291,13 @@
         let within = |ended: u32, limit: Duration| u128::from(ended) <= limit.as_millis();
         // At a greater age, an end is proof only if nothing else ran on the worker and an earlier run ended
         // at the same age.
-        let repeat = repeat.is_some_and(|span| span <= SAME_AGE_SPAN_MS) && state.runs.len() == 1;
+        let same_age =
+            common_span.is_some_and(|span| span <= SAME_AGE_SPAN_MS) && state.runs.len() == 1;
         let proof = |ended: u32| {
             only_cause
                 && confirmed
                 && chance_ppm <= MAX_PROOF_CHANCE_PPM
-                && (within(ended, MAX_PROOF_AGE) || repeat)
+                && (within(ended, MAX_PROOF_AGE) || same_age)
         };
         let weight = match over_ms {
             Some(ended) if proof(ended) => CrashWeight::Proof,
@@ -324,7 +328,8 @@
             return;
         };
         state.declared_lost = true;
-        // A worker that never answered this leader was lost before this leader started.
+        // The loss rate covers only losses that this leader saw. A worker that never accepted its token is
+        // assumed to have been lost before this leader started.
         if !state.token_accepted
             || state.is_crashed_by_task()
             || blamed_on_task
@@ -455,13 +460,13 @@
         end: Option<ProcessEnd>,
         now: CoreTime,
     ) -> LossFacts {
-        let other_life = matches!(end, Some(ProcessEnd::OtherLife | ProcessEnd::Restarted));
-        let ended_by = state.refused_at.or(other_life.then_some(now));
+        let other_process = matches!(end, Some(ProcessEnd::OtherLife | ProcessEnd::Restarted));
+        let ended_by = state.refused_at.or(other_process.then_some(now));
         let at = ended_by.unwrap_or(state.loss_window().last);
         let others = self.lost_at_same_time(id, at, now);
         let rate = self.loss_rate(&state.entry.address, now);
         LossFacts {
-            has_ended: other_life || (!state.listed && state.refused),
+            has_ended: other_process || (!state.listed && state.refused),
             ended_by,
             at,
             others,
--- a/crates/bankvalve_queue/src/guard.rs
+++ b/crates/bankvalve_queue/src/guard.rs
@@ -1,6 +1,8 @@
 //! Guards that enforce the platform's rules. A check can disable one of them.
 
 /// A guard that a check can disable, to show that the check detects its absence.
+///
+/// A site is one deployment of bankvalve: its instances and the workers that they use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SiteGuard {
     /// A new leader handles no ended runs before it has read the complete ledger.
@@ -38,7 +40,8 @@
     LedgerProgress,
     /// After any other request to the table has timed out, the next request of its kind has a longer timeout.
     GrowingPatience,
-    /// The end of a worker is evidence against the tasks that it ran.
+    /// The end of a worker is evidence against the tasks that it ran, so a job whose task crashes workers
+    /// fails after a limited number of ends.
     CrashBudget,
     /// The end of a worker is strong evidence only against a task that was its only one, and only if there
     /// was no mass loss of workers.
--- a/crates/bankvalve_queue/src/ledger/crash_count.rs
+++ b/crates/bankvalve_queue/src/ledger/crash_count.rs
@@ -18,20 +18,22 @@
 
 use crate::ids::{RunId, WorkerId};
 
-/// Number of ends from which a task is a suspect, whatever the evidence. One is too few: on an ordinary bad
-/// day, about 170 workers were lost within two minutes, each with five to thirteen runs.
+/// Number of ends from which a task is a suspect, whatever the evidence. One is too few: workers are also
+/// lost for other reasons, for example about 170 within two minutes, each with five to thirteen runs.
 const MIN_SUSPECT_ENDS: usize = 2;
-/// Minimum number of proofs for which a job fails without further evidence, as the users require. A second
+/// Minimum number of proofs for which a job fails without further evidence; the users require two. A second
 /// trial run costs little because it is isolated, while a job that fails wrongly is lost.
 const MIN_PROOFS: usize = 2;
 /// Highest probability that all proofs are chance at which [`MIN_PROOFS`] proofs are conclusive, in parts
 /// per million.
 const MAX_CHANCE_PPM: f64 = 50.0;
-/// Number of ends from which a task with an early crash must not start beside other new runs. The users allow
-/// it only a few more starts, and an end beside other new runs is no proof.
+/// Number of ends from which a task with an early crash must not start beside other new runs. An end beside
+/// other new runs is no proof, and the users allow only a few more starts until the job must have failed (see
+/// [`MAX_STARTS`]).
 const MIN_ISOLATION_ENDS: usize = 2;
-/// Number of early crashes from which one proof is enough. The users consider five starts after the third
-/// lost worker too many; this number allows for one end that nobody reported.
+/// Number of workers with an early crash, proofs included, from which one proof is enough. The users consider
+/// five starts after the third lost worker too many. Four such ends, and one that nobody reported, make five
+/// lost workers: two starts after the third.
 const EARLY_CRASH_LIMIT: usize = 4;
 /// Number of earlier ends, including unreported ones, from which the further starts of a task are counted.
 const ENDS_BEFORE_START_COUNT: usize = 3;
@@ -57,8 +59,8 @@
 pub enum CrashWeight {
     /// Weak evidence: the run had been running for a while, or it was not seen when and how the worker ended.
     Weak,
-    /// Early crash: the worker ended right after the run was ordered, but the end is no proof. Other runs
-    /// there were new, for example, or other workers were lost as well.
+    /// Early crash, stored under this name: the worker ended right after the run was ordered, but the end is
+    /// no proof. Other runs there were new, for example, or other workers were lost as well.
     Young,
     /// Strong evidence: the worker ended soon after the run was ordered, or at the same age of the run as an
     /// earlier one, and no other run there was new.
@@ -87,8 +89,9 @@
     /// Time from the order until the worker last reported the run as running, in milliseconds; 0 if it
     /// never did.
     pub alive_ms: u32,
-    /// Time from the order until the worker's port first refused connections or another process answered, in
-    /// milliseconds. `None` if neither was seen, or if a former leader sent the order.
+    /// Latest age of the run at which its worker ended: time from the order until the worker's port first
+    /// refused connections or another process answered, in milliseconds. `None` if neither was seen, or if a
+    /// former leader sent the order.
     pub over_ms: Option<u32>,
     /// Number of other runs on the worker that were new.
     pub beside: u32,
@@ -102,14 +105,16 @@
 #[derive(Deserialize)]
 #[serde(untagged)]
 enum StoredEvidence {
-    Told(CrashWeight, bool, u32, Option<u32>, u32, u32, u32),
+    /// The fields of [`CrashEvidence`], in their order.
+    Fields(CrashWeight, bool, u32, Option<u32>, u32, u32, u32),
+    /// The name of the weight.
     Word(String),
 }
 
 impl From<StoredEvidence> for CrashEvidence {
     fn from(stored: StoredEvidence) -> Self {
         match stored {
-            StoredEvidence::Told(
+            StoredEvidence::Fields(
                 weight,
                 confirmed,
                 alive_ms,
@@ -159,7 +164,7 @@
         write!(
             into,
             "{answered}, {over}, {beside} other new runs on the worker, {others} other workers lost at the \
-             same time, odds by chance {chance} in a million: {weight} evidence"
+             same time, probability of an end by chance {chance} in a million: {weight} evidence"
         )
     }
 }
@@ -216,7 +221,7 @@
     /// worker has no recorded end. Their workers may have ended as well.
     unreported: usize,
     /// Number of runs that ended without success after [`ENDS_BEFORE_START_COUNT`] earlier ends.
-    starts: u32,
+    counted_starts: u32,
 }
 
 impl CrashCount {
@@ -249,7 +254,7 @@
     pub fn note_run(&mut self, run: RunId, reported: bool) {
         let before = self.ends.iter().filter(|end| end.run != run).count();
         if before + self.unreported >= ENDS_BEFORE_START_COUNT {
-            self.starts += 1;
+            self.counted_starts += 1;
         } else if !reported && before == self.ends.len() {
             self.unreported += 1;
         }
@@ -336,15 +341,16 @@
             .min()
     }
 
-    /// Returns the evidence of the ends that are proof, without the first end. Every task that
-    /// is examined has a first end, whatever its cause.
+    /// Returns the evidence of the ends that are proof, without the first end. The first end only makes the
+    /// task worth examining: any task may have one by chance. So it does not count when the probability of
+    /// chance is calculated.
     fn later_proofs(&self) -> impl Iterator<Item = &CrashEvidence> {
         let later = self.independent().skip(1).map(|end| &end.evidence);
         later.filter(|evidence| evidence.weight == CrashWeight::Proof)
     }
 
-    /// Returns whether all workers may have ended at the age that a proof shows, as far as their ages are
-    /// known.
+    /// Returns whether the task may have ended all recorded workers at the same age of its runs as in a
+    /// proof. An end at an unknown age does not contradict it.
     fn is_consistent_with(&self, proof: &CrashEvidence) -> bool {
         let last = proof
             .over_ms
@@ -379,7 +385,7 @@
             self.later_proofs()
                 .any(|proof| self.is_consistent_with(proof))
         };
-        let started = self.starts >= MAX_STARTS && consistent();
+        let started = self.counted_starts >= MAX_STARTS && consistent();
         proven || started || (proofs > 0 && many)
     }
 }
--- a/crates/bankvalve_queue/src/ledger/event.rs
+++ b/crates/bankvalve_queue/src/ledger/event.rs
@@ -101,14 +101,15 @@
         /// What was seen of the worker's end.
         evidence: CrashEvidence,
     },
-    /// A worker does not respond. No leader renews its lease until [`HoldResumed`](Self::HoldResumed).
+    /// A worker does not respond. No leader renews its lease until [`HoldResumed`](Self::HoldResumed). "Hold"
+    /// means the lease; the event is stored under this name.
     HoldStopped {
         /// The worker.
         worker: WorkerId,
         /// Time after which its lease is known to have expired, in milliseconds.
         over_ms: u64,
     },
-    /// A worker's lease may be renewed again, or the worker is forgotten.
+    /// A worker's lease may be renewed again, or the worker is forgotten. Stored under this name.
     HoldResumed {
         /// The worker.
         worker: WorkerId,
--- a/crates/bankvalve_queue/src/ledger/job_book.rs
+++ b/crates/bankvalve_queue/src/ledger/job_book.rs
@@ -71,7 +71,8 @@
     pub outcome: JobOutcome,
     /// Whether a task has started.
     pub begun: bool,
-    /// Open repetitions by number: those that were opened and are not done.
+    /// Open repetitions of the job by number (`time` in the names means a repetition): those that were opened
+    /// and are not done.
     pub times: BTreeMap<u32, RepetitionRecord>,
     /// Number of repetitions that are done.
     pub times_done: u32,
@@ -87,8 +88,8 @@
         self.times_done > 0 || tasks.any(|task| task.phase == TaskPhase::Done)
     }
 
-    /// Returns the task for which the job failed because workers ended under it, and the ends of these
-    /// workers.
+    /// Returns the task for which the job failed because workers ended while they ran it, and the ends of
+    /// these workers.
     pub fn crashing_task(&self) -> Option<(TaskKey, &CrashCount)> {
         if self.outcome != JobOutcome::Failed {
             return None;
@@ -198,14 +199,15 @@
         if !current && !late {
             return;
         }
-        // A start order that had no effect does not end the task's downtime.
+        // The task's downtime counts from `ended_at`. A start order that had no effect does not interrupt the
+        // downtime, so `ended_at` stays.
         if how != EndKind::NeverRan {
             step.tasks[index].ended_at = at;
         }
         if !saved.is_empty() {
             record_progress(step, index, gang, saved);
         }
-        // A worker's report about a run shows that the worker had not ended under it.
+        // A worker's report about a run shows that the worker had not ended while it ran it.
         let lost = matches!(how, EndKind::Lost | EndKind::Crashed(_) | EndKind::NeverRan);
         if let Some(count) = step.tasks[index].crashes.as_deref_mut().filter(|_| !lost) {
             count.remove_end(run);
@@ -218,9 +220,9 @@
             EndKind::Failed => {
                 count_failure(step, index, gang, run);
                 step.set_phase(index, TaskPhase::Waiting);
-                let spent = !lasting && step.tasks[index].failures >= attempts;
+                let attempts_exhausted = !lasting && step.tasks[index].failures >= attempts;
                 // A run that is being stopped may fail: its job stays cancelled.
-                if spent && self.outcome == JobOutcome::Open {
+                if attempts_exhausted && self.outcome == JobOutcome::Open {
                     self.outcome = JobOutcome::Failed;
                 }
             }
@@ -247,7 +249,7 @@
         }
     }
 
-    /// Records that a worker has ended under a run that is not declared lost yet.
+    /// Records that a worker has ended while it had a run that is not declared lost yet.
     fn apply_crash(&mut self, task: TaskKey, run: RunId, evidence: CrashEvidence) {
         if !self.has_task(task) {
             return;
--- a/crates/bankvalve_queue/src/peer.rs
+++ b/crates/bankvalve_queue/src/peer.rs
@@ -1,4 +1,7 @@
-//! Messages between entry instances.
+//! Messages between entry instances, which are processes of bankvalve.
+//!
+//! The table is the platform's store, in which the ledger is kept. Fields named `store_…` are about it.
+//! Fields named `table_…` and messages named `Table…` are about the configuration, the `QueueTable`.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -103,7 +106,8 @@
 /// Contents of a heartbeat.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HeartbeatBody {
-    /// Start of the sender's process, in milliseconds since 1970.
+    /// Start of the sender's process, in milliseconds since 1970. Tells it from an earlier process at the
+    /// same address.
     pub life: u64,
     /// CPU capacity of the sender, in millicores.
     pub strength: u64,
@@ -119,7 +123,7 @@
     /// Milliseconds since the sender's last contact with the leader: 0 if it leads itself, `u64::MAX` if it
     /// knows no leader.
     pub leader_age_ms: u64,
-    /// Whether the sender leads and the table does not answer its requests.
+    /// Whether the sender leads and the platform's store does not answer its requests.
     pub store_trouble: bool,
     /// Milliseconds since the table last answered a probe, which the sender makes while a leader reports
     /// such trouble; `None` if it has answered none.
@@ -183,7 +187,7 @@
         /// The run.
         run: RunId,
     },
-    /// Renews the lease and requests the run lists.
+    /// Renews the lease, which the names call the hold, and requests the run lists.
     Hold {
         /// End of the lease on the worker's clock, in milliseconds; `None` leaves the lease as it is.
         until_ms: Option<u64>,
@@ -251,6 +255,9 @@
         answer: Option<CallerAnswer>,
     },
     /// Requests the read index from the leader, for status reads that the sender answers from its own book.
+    ///
+    /// The read index, also called the mark, is the number of the last committed batch. A read round is a
+    /// group of status reads that wait for the same read index.
     MarkWanted {
         /// Number of the read round.
         round: u64,
@@ -276,7 +283,7 @@
         /// The answer.
         answer: AdviceAnswer,
     },
-    /// A message that is sent through a hub.
+    /// A message that is sent through a hub, a member that relays messages between the leader and others.
     Relay {
         /// Sender of the message.
         from: PeerAddress,
@@ -285,7 +292,7 @@
         /// The message.
         message: Box<PeerMessage>,
     },
-    /// A call to a worker that the receiver is to send for the leader.
+    /// A call to a worker that the receiver, as a proxy, is to send for the leader.
     Carry {
         /// Ticket of the call.
         ticket: Ticket,
@@ -339,10 +346,10 @@
         /// Size of the offered configuration, in bytes.
         bytes: u64,
     },
-    /// Accepts an offered configuration.
+    /// Accepts the configuration of a [`PeerMessage::TableOffer`].
     TableTaken,
-    /// Withdraws an offer after the peer has accepted it, because the sender is sending a copy to another
-    /// peer.
+    /// Withdraws a [`PeerMessage::TableOffer`] after the peer has accepted it, because the sender is sending
+    /// a copy to another peer.
     TableRefused,
     /// The configuration, sent to a peer that accepted the offer.
     Table {
--- a/crates/bankvalve_queue/src/worker.rs
+++ b/crates/bankvalve_queue/src/worker.rs
@@ -31,7 +31,7 @@
     pub domain: String,
     /// Labels, such as its kind and its rack.
     pub labels: Vec<String>,
-    /// Total capacity.
+    /// Total capacity, used or free.
     pub room: TaskSize,
     /// Whether the worker is leaving and must get no new runs.
     pub leaving: bool,
