--- a/crates/bankvalve_queue/src/core/commit.rs
+++ b/crates/bankvalve_queue/src/core/commit.rs
@@ -147,7 +147,8 @@
             let ends: Vec<String> = count.ends().iter().map(CrashEnd::to_string).collect();
             let (ends, chance) = (ends.join("; "), count.chance_ppm());
             let detail = format!(
-                "workers ended while running it, odds by chance {chance:.3} in a million: {ends}"
+                "workers ended while running it, probability that all strong evidence is chance \
+                 {chance:.3} in a million: {ends}"
             );
             (task.to_string(), detail)
         });
--- a/crates/bankvalve_queue/src/core/live_run.rs
+++ b/crates/bankvalve_queue/src/core/live_run.rs
@@ -121,8 +121,8 @@
     /// How it ended with an earlier process of its worker, in case the current process does not have
     /// it.
     pub(super) ended_as: Option<EndKind>,
-    /// Whether it runs isolated because workers ended under its task. Its resources are then the entire
-    /// worker.
+    /// Whether it runs isolated because workers ended while they ran its task. Its resources are then the
+    /// entire worker.
     pub(super) on_trial: bool,
 }
 
--- a/crates/bankvalve_queue/src/core/lost_contact.rs
+++ b/crates/bankvalve_queue/src/core/lost_contact.rs
@@ -25,8 +25,9 @@
 /// Interval between two scans of waiting tasks: less than a tenth of the shortest wait that is logged, which
 /// is [`UNRESPONSIVE_AFTER`].
 const SCAN_INTERVAL: Duration = Duration::from_millis(100);
-/// Added to [`SCAN_INTERVAL`] for each waiting task: about forty times the cost of scanning one. Together,
-/// the two intervals limit the scans of about three thousand tasks to a hundredth of a core.
+/// Added to [`SCAN_INTERVAL`] for each waiting task: about forty times the cost of scanning one. So
+/// scans never take more than a fortieth of a core. Because [`SCAN_INTERVAL`] is added too, they take at most
+/// a hundredth as long as the waiting tasks number only a few thousand.
 const SCAN_INTERVAL_PER_TASK: Duration = Duration::from_micros(20);
 /// Time within which a worker usually answers a new leader. The first poll times out after about 0.6 s,
 /// and the next one follows 0.25 s later.
@@ -404,8 +405,8 @@
         let end = match until.map(|until| rounded(until.saturating_sub(now))) {
             Some(left) if unconfirmed => {
                 format!(
-                    "by itself in at most {left:?} from now, but not before this leader's leadership is \
-                     confirmed again"
+                    "once this leader's leadership is confirmed again, and then by itself in at most {left:?} \
+                     from now"
                 )
             }
             Some(left) => format!("by itself in at most {left:?}"),
@@ -440,10 +441,12 @@
                     .to_owned()
             }
             WaitReason::FormerHoldAssumed => {
+                // Mutual contact: the leader and this instance recently received each other's heartbeats.
+                // Without it, this instance does not know when the leader stopped (see `former_leaders`).
                 let longest = self.settings.hold_limit;
                 format!(
-                    "a former leader and this instance did not receive each other's heartbeats: it is \
-                     assumed to continue for {UNCONFIRMED_LIMIT:?}, and to request leases of {longest:?}"
+                    "a former leader was not in mutual contact with this instance: it is assumed to \
+                     continue for {UNCONFIRMED_LIMIT:?}, and to request leases of {longest:?}"
                 )
             }
             WaitReason::EntryListed => "its lease has expired, its entry still exists".to_owned(),
--- a/crates/bankvalve_queue/src/core/mod.rs
+++ b/crates/bankvalve_queue/src/core/mod.rs
@@ -30,7 +30,7 @@
 //! - Workers: `lease_renewal`, `worker_reports`, `orders` and `overdue_runs` poll workers and start and stop
 //!   runs. `incarnation` distinguishes the processes of a worker, and `call_proxies` has standbys send calls.
 //! - Placement: `placement` decides which task runs on which worker, `advice` queries the policy service, and
-//!   `capacity_reclaim` preempts runs. `suspects` isolates tasks under which workers ended.
+//!   `capacity_reclaim` preempts runs. `suspects` isolates tasks that may crash workers.
 //!   `restart_preparation` reserves capacity and gets permits for long-running tasks. `lost_contact` and
 //!   `restart_waits` report why tasks are not running.
 //! - Configuration: `table_watch` and `table_pull` fetch the operator's configuration, and `denials` handles
--- a/crates/bankvalve_queue/src/core/placement.rs
+++ b/crates/bankvalve_queue/src/core/placement.rs
@@ -62,6 +62,7 @@
     run: RunId,
     pub(super) resources: TaskSize,
     pub(super) priority: u32,
+    /// Whether the step has the highest priority, 0.
     pub(super) urgent: bool,
     /// Whether the step prefers workers on which tasks run faster.
     pub(super) fast_first: bool,
--- a/crates/bankvalve_queue/src/core/suspects.rs
+++ b/crates/bankvalve_queue/src/core/suspects.rs
@@ -14,7 +14,7 @@
 //! weaker is the evidence of an end, above all if others were lost at the same moment.
 //!
 //! Trial runs take at most one worker in eight at once, or one in four including the workers that have just
-//! ended under one. A gang's suspects start together, so they may take more. A suspect that has waited too
+//! ended during one. A gang's suspects start together, so they may take more. A suspect that has waited too
 //! long for its start or for a free worker starts beside other runs. If it must be isolated, which is the
 //! case after two ends of which one was an early crash, it starts only beside runs that are not new: there,
 //! an end is as strong evidence as on an empty worker. A long-running task waits only until
@@ -50,7 +50,7 @@
 const UNRELATED_AGE: Duration = Duration::from_secs(30);
 /// One worker in this many, and at least one, may run a trial at the same time.
 const TRIAL_DIVISOR: usize = 8;
-/// One worker in this many, and at least two, may run a trial or have ended under one without having been
+/// One worker in this many, and at least two, may run a trial or have ended during one without having been
 /// declared lost.
 const OCCUPIED_DIVISOR: usize = 4;
 /// Longest wait for a free worker and an allowed start before a suspect starts beside other runs, if it
--- a/crates/bankvalve_queue/src/core/worker_reports.rs
+++ b/crates/bankvalve_queue/src/core/worker_reports.rs
@@ -357,7 +357,7 @@
         }
     }
 
-    /// Logs how many workers have ended under a task so far, and what happens to the task.
+    /// Logs how many workers have ended so far while they ran a task, and what happens to the task.
     pub(super) fn log_crash(&mut self, task: TaskKey) {
         let job = self.book.job(task.step.job);
         let Some(count) = job.and_then(|job| job.task(task)?.crash_count()) else {
@@ -373,8 +373,8 @@
         let (last, chance) = (last.unwrap_or_default(), count.chance_ppm());
         self.log_often("runs", "crash", || {
             let detail = format!(
-                "{number} workers ended under it, odds that all strong evidence is chance {chance:.3} in a million: \
-                 {next}; {last}"
+                "{number} workers ended while running it, probability that all strong evidence is chance \
+                 {chance:.3} in a million: {next}; {last}"
             );
             (task.to_string(), detail)
         });
--- a/crates/bankvalve_queue/src/ledger/event.rs
+++ b/crates/bankvalve_queue/src/ledger/event.rs
@@ -90,8 +90,8 @@
         /// with the run.
         at: WallMillis,
     },
-    /// A worker ended under a run that is not declared lost yet, because the worker's lease may still be
-    /// valid. Committed as soon as it is seen, because the leader that saw it may fail before the lease
+    /// A worker ended while it had a run that is not declared lost yet, because the worker's lease may still
+    /// be valid. Committed as soon as it is seen, because the leader that saw it may fail before the lease
     /// expires.
     CrashSeen {
         /// The task.
--- a/crates/bankvalve_queue/src/ledger/step_record.rs
+++ b/crates/bankvalve_queue/src/ledger/step_record.rs
@@ -171,8 +171,8 @@
     }
 }
 
-/// Records that a worker ended under a task. This counts only against that task, also in a gang: if forty
-/// members run on forty workers, the others are not involved.
+/// Records that a worker ended while it ran a task. This counts only against that task, also in a gang: if
+/// forty members run on forty workers, the others are not involved.
 pub(super) fn count_crash(task: &mut TaskRecord, evidence: CrashEvidence) {
     let TaskPhase::Placed { worker, run } = &task.phase else {
         return;
--- a/crates/bankvalve_queue/tests/crashes.rs
+++ b/crates/bankvalve_queue/tests/crashes.rs
@@ -56,8 +56,8 @@
     assert!(count.is_conclusive());
 }
 
-/// Guards against a third start of a task after three workers have ended under it. The ends of some of them
-/// were not reported.
+/// Guards against a third start of a task after three workers have ended while they ran it. The ends of some
+/// of them were not reported.
 #[test]
 fn evidence_with_a_proof_is_conclusive_before_the_third_start_after_three_ends() {
     for unreported in 0..3 {
