--- a/crates/bankvalve_queue/src/core/lost_contact.rs
+++ b/crates/bankvalve_queue/src/core/lost_contact.rs
@@ -348,8 +348,6 @@
     }
 
     /// Returns why a run on a worker that is out of contact is assumed to be running, and until when.
-    ///
-    /// "Hold" in the names of reasons and settings means the worker's lease.
     fn assumed_run(
         &self,
         id: &WorkerId,
--- a/crates/bankvalve_queue/src/core/task_waits.rs
+++ b/crates/bankvalve_queue/src/core/task_waits.rs
@@ -3,6 +3,8 @@
 use std::time::Duration;
 
 /// Reason why the last run of a task is assumed to be running on a worker that is out of contact.
+///
+/// "Hold" in the names means the worker's lease. The reasons are logged and counted under these names.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum WaitReason {
     /// A lease that this leader requested may not have expired on the worker yet.
--- a/crates/bankvalve_queue/src/policy.rs
+++ b/crates/bankvalve_queue/src/policy.rs
@@ -19,7 +19,7 @@
     Preemption,
     /// Urgent steps prefer fast workers.
     FastWorkers,
-    /// Capacity is reserved for a step while its permits are renewed.
+    /// Capacity ("room" in the name) is reserved for a step while its permits are renewed.
     PermitRoom,
     /// Workers that fail what they start get no new runs during a back-off.
     FailureRest,
@@ -35,7 +35,7 @@
     Withdrawal,
     /// Jobs that a customer submits beyond its share come after all others.
     CustomerShares,
-    /// Gangs of queues that allow few failed runs prefer workers whose last run did not fail.
+    /// Gangs of queues that allow few failed runs prefer workers whose last run did not fail ("proved" workers).
     ProvedWorkers,
 }
 
--- a/crates/bankvalve_queue/tests/crashes.rs
+++ b/crates/bankvalve_queue/tests/crashes.rs
@@ -1,4 +1,4 @@
-//! Evidence against a task under which workers ended, and when it is conclusive.
+//! Evidence against a task that workers ran when they ended, and when it is conclusive.
 
 use bankvalve_queue::{CrashCount, CrashEnd, CrashEvidence, CrashWeight};
 
