--- a/crates/bankvalve_queue/src/core/lost_contact.rs
+++ b/crates/bankvalve_queue/src/core/lost_contact.rs
@@ -403,8 +403,8 @@
         let end = match until.map(|until| rounded(until.saturating_sub(now))) {
             Some(left) if unconfirmed => {
                 format!(
-                    "once this leader's leadership is confirmed again, and then by itself in at most {left:?} \
-                     from now"
+                    "once this leader's leadership is confirmed again, and then by itself in at most \
+                     {left:?} from now"
                 )
             }
             Some(left) => format!("by itself in at most {left:?}"),
--- a/crates/bankvalve_queue/src/policy.rs
+++ b/crates/bankvalve_queue/src/policy.rs
@@ -35,7 +35,8 @@
     Withdrawal,
     /// Jobs that a customer submits beyond its share come after all others.
     CustomerShares,
-    /// Gangs of queues that allow few failed runs prefer workers whose last run did not fail ("proved" workers).
+    /// Gangs of queues that allow few failed runs prefer workers whose last run did not fail
+    /// ("proved" workers).
     ProvedWorkers,
 }
 
