--- a/crates/bankvalve_queue/src/core/lost_contact.rs
+++ b/crates/bankvalve_queue/src/core/lost_contact.rs
@@ -22,10 +22,12 @@
 use crate::ids::{CoreTime, RunId, StepKey, TaskKey, WorkerId};
 use crate::ledger::{JobOutcome, JobRecord, TaskPhase};
 
-/// Interval between two scans of waiting tasks: a tenth of the shortest wait that is logged.
+/// Interval between two scans of waiting tasks: less than a tenth of the shortest wait that is logged, which
+/// is [`UNRESPONSIVE_AFTER`].
 const SCAN_INTERVAL: Duration = Duration::from_millis(100);
-/// Added to the interval for each waiting task: about forty times the cost of scanning one, so that
-/// thousands of them take at most a hundredth of a core.
+/// Added to [`SCAN_INTERVAL`] for each waiting task: about forty times the cost of scanning one. So
+/// scans never take more than a fortieth of a core. Because [`SCAN_INTERVAL`] is added too, they take at most
+/// a hundredth as long as the waiting tasks number only a few thousand.
 const SCAN_INTERVAL_PER_TASK: Duration = Duration::from_micros(20);
 /// Time within which a worker usually answers a new leader. The first poll times out after about 0.6 s,
 /// and the next one follows 0.25 s later.
@@ -355,11 +357,11 @@
     ) -> AssumedRun {
         let now = self.now;
         let (lease_reason, expires_at) = if state.token_accepted {
-            let latest_former = state.token_accepted_at + self.former_leaders.longest_lease();
-            let former = self.former_leases_expire_at(id).min(latest_former);
+            let former_limit = state.token_accepted_at + self.former_leaders.longest_lease();
+            let former_expires_at = self.former_leases_expire_at(id).min(former_limit);
             (
                 WaitReason::OwnHold,
-                state.lease_expires_at().map(|at| at.max(former)),
+                state.lease_expires_at().map(|at| at.max(former_expires_at)),
             )
         } else {
             let reason = if self.is_bounded_by_ledger(id) || self.former_leaders.are_known() {
@@ -401,8 +403,8 @@
         let end = match until.map(|until| rounded(until.saturating_sub(now))) {
             Some(left) if unconfirmed => {
                 format!(
-                    "once this leader's leadership is confirmed again, by itself in at most {left:?} \
-                     from now"
+                    "once this leader's leadership is confirmed again, and then by itself in at most \
+                     {left:?} from now"
                 )
             }
             Some(left) => format!("by itself in at most {left:?}"),
@@ -437,6 +439,8 @@
                     .to_owned()
             }
             WaitReason::FormerHoldAssumed => {
+                // Mutual contact: the leader and this instance recently received each other's heartbeats.
+                // Without it, this instance does not know when the leader stopped (see `former_leaders`).
                 let longest = self.settings.hold_limit;
                 format!(
                     "a former leader was not in mutual contact with this instance: it is assumed to \
@@ -470,6 +474,7 @@
         };
         let waited = rounded(now.saturating_sub(lost_contact.since));
         let reason = lost_contact.reason.as_str();
+        // The event `heard` covers both cases: the worker answers, or the run is no longer waited for.
         self.log_often("runs", "heard", || {
             let detail = format!(
                 "run {run} on {worker}: {end}, out of contact for {waited:?}, last reason {reason}"
